--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_event_stream.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events."""
+"""Split a stream of server-sent events into complete events."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class StreamEvent:
-    """One whole event with the blank line that ends it.
+    """One complete event, including the blank line that ends it.
 
     Parameters
     ----------
@@ -25,15 +25,15 @@
 
     @property
     def number(self) -> int | None:
-        """The id as a number, None if it is none."""
+        """The id as a number, None if it is not a number."""
         return int(self.id) if self.id is not None and self.id.isdecimal() else None
 
 
 class EventSplitter:
-    """Takes pieces of a stream and returns the events that are whole.
+    """Takes chunks of a stream and returns the complete events.
 
-    An upstream can break off in the middle of an event. Only whole events are passed on, so that
-    another upstream can go on behind the last one.
+    An upstream can break off in the middle of an event. Only complete events are passed on, so that
+    another upstream can continue after the last one.
 
     Examples
     --------
@@ -48,7 +48,7 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are whole now."""
+        """Return the events that are complete with this data."""
         buffer = self.rest + data
         events = []
         start = 0
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_figures.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_figures.py
@@ -1,26 +1,26 @@
-"""Counters, gauges and histograms of a forwarder, in the text form that collectors read."""
+"""Counters, gauges and histograms of a forwarder, in the Prometheus text format."""
 
 from __future__ import annotations
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-FIRST_BUCKETS = (0.025, 0.05, 0.1, 0.15, 0.2, 0.25, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0)
-"""Bounds for the time to a first token or a plain answer, seconds; close together around the usual
+FIRST_OUTPUT_BUCKETS_S = (0.025, 0.05, 0.1, 0.15, 0.2, 0.25, 0.35, 0.5, 0.75, 1.0, 1.5, 2.5, 5.0)
+"""Buckets for the time to the first token or to a plain answer, seconds; narrow around the usual
 targets of a tenth to half a second."""
 
-WHOLE_BUCKETS = (0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0)
-"""Bounds for whole answers, seconds."""
+TOTAL_BUCKETS_S = (0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0, 30.0)
+"""Buckets for the time to the end of an answer, seconds."""
 
-UNREAD_BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
-"""Bounds for the time that requests lie unread, seconds: from a process with time to spare to one
-that reads requests when their callers have left."""
+UNREAD_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
+"""Buckets for the time from the arrival of a request to its reading, seconds: from a process with
+spare processor time to one that reads requests after their callers have disconnected."""
 
-ERROR_BUCKETS = (0.25, 0.5, 0.7, 0.85, 1.0, 1.2, 1.5, 2.0, 4.0)
-"""Bounds for the ratio of a first token to its prediction; 1 is a prediction that came true."""
+PREDICTION_RATIO_BUCKETS = (0.25, 0.5, 0.7, 0.85, 1.0, 1.2, 1.5, 2.0, 4.0)
+"""Buckets for the ratio of the time to first token to its prediction; 1 is an exact prediction."""
 
 
 class Figures:
-    """All figures of one process."""
+    """All metrics of one process."""
 
     def __init__(self):
         self.registry = CollectorRegistry()
@@ -31,23 +31,23 @@
             "repeats_denied", "Repeats that the retry budget did not allow.", "service"
         )
         self.first = self._histogram(
-            "first_seconds", "Arrival to the first event or plain answer.", FIRST_BUCKETS
+            "first_seconds", "Arrival to the first event or plain answer.", FIRST_OUTPUT_BUCKETS_S
         )
-        self.whole = self._histogram("whole_seconds", "Arrival to the end.", WHOLE_BUCKETS)
+        self.whole = self._histogram("whole_seconds", "Arrival to the end.", TOTAL_BUCKETS_S)
         self.waited = self._histogram(
-            "waited_seconds", "Wait before the first send.", FIRST_BUCKETS
+            "waited_seconds", "Wait before the first send.", FIRST_OUTPUT_BUCKETS_S
         )
         self.unread = Histogram(
             "forwarder_unread_seconds",
             "Arrival of a request to its reading.",
-            buckets=UNREAD_BUCKETS,
+            buckets=UNREAD_BUCKETS_S,
             registry=self.registry,
         )
         self.prediction = Histogram(
             "forwarder_first_token_ratio",
             "First tokens against their prediction.",
             ["service"],
-            buckets=ERROR_BUCKETS,
+            buckets=PREDICTION_RATIO_BUCKETS,
             registry=self.registry,
         )
         self.config_age = self._gauge("config_age_seconds", "Age of the last confirmation.")
@@ -71,7 +71,7 @@
         )
 
     def expose(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics as text."""
         return generate_latest(self.registry)
 
     def _counter(self, name: str, text: str, *labels: str) -> Counter:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_headers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_headers.py
@@ -1,4 +1,4 @@
-"""Which headers concern one connection only."""
+"""Removal of hop-by-hop headers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from multidict import CIMultiDict
 
-ONE_CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -21,18 +21,18 @@
         "upgrade",
     }
 )
-"""Headers of one connection, and the length, which is set anew on the next one."""
+"""Hop-by-hop headers, and the content length, which is set again on the next connection."""
 
 
 def pass_on_headers(headers: Mapping[str, str], drop: Collection[str] = ()) -> CIMultiDict[str]:
-    """Return the headers of a message that go on to the next connection.
+    """Return the end-to-end headers of a message, for the next connection.
 
     Parameters
     ----------
     headers : mapping
-        Each header may stand several times.
+        Each header may occur several times.
     drop : collection of str
-        Names, in lower case, that do not go on for other reasons.
+        Names, in lower case, of further headers to leave out.
 
     Examples
     --------
@@ -44,6 +44,6 @@
     passed: CIMultiDict[str] = CIMultiDict()
     for name, value in headers.items():
         lower = name.lower()
-        if lower not in ONE_CONNECTION and lower not in named and lower not in drop:
+        if lower not in HOP_BY_HOP_HEADERS and lower not in named and lower not in drop:
             passed.add(name, value)
     return passed
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_platform.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_platform.py
@@ -1,7 +1,7 @@
-"""What a forwarder needs of the platform it runs on, as an interface.
+"""Interface between a forwarder and the platform on which it runs.
 
 An adapter translates the platform's rows, headers and statuses into these types and back. It
-registers under a name in :data:`forwarding_platforms`; the settings name the packages that hold
+registers under a name in :data:`forwarding_platforms`; the settings list the packages that contain
 adapters.
 """
 
@@ -28,7 +28,7 @@
     Parameters
     ----------
     id : str
-        Names this request of the caller; another try has another id.
+        Id of this request; a retry by the caller has another id.
     method : str
     target : str
         Path and query exactly as the caller sent them.
@@ -36,13 +36,13 @@
         The part of ``target`` before the query.
     host : str
     headers : CIMultiDict
-        What is passed on: without headers of one connection and without those that only the
+        Headers that are passed on: without hop-by-hop headers and without those that only the
         forwarder may set.
     api_key : str or None
     patience_s : float or None
-        How long the caller waits, seconds; None if it does not say.
+        How long the caller waits, seconds; None if the request does not say.
     prompt : Prompt or None
-        What is known of the prompt of a request to an engine.
+        Description of the prompt of a request to an engine.
     resume_after : str or None
         Id of the last event that the caller has of a stream.
     """
@@ -61,14 +61,14 @@
 
 @attrs.frozen
 class SendTerms:
-    """What the forwarder says to an upstream with one send.
+    """Parameters of one send, which the forwarder passes to the upstream.
 
     Parameters
     ----------
     upstream : str
-        Id of the incarnation that is meant.
+        Id of the incarnation to which the send is addressed.
     remaining_s : float
-        Time after which the answer is of no use, seconds.
+        Time for which the caller still waits for the answer, seconds.
     organisation : str or None
         None on routes without keys.
     urgency : int
@@ -76,13 +76,13 @@
     resume_after : str or None
         Id of the last event that the caller has.
     weights_version : str or None
-        Version of the weights that began the stream, if known.
+        Version of the weights with which the stream began, if known.
     backup_at : str or None
-        Host and port of the upstream that is to keep a copy of the memory of the run.
+        Host and port of the upstream that will keep a copy of the memory of the run.
     copy_at : str or None
-        Host and port of the upstream that keeps such a copy, from which the run goes on.
+        Host and port of the upstream that keeps such a copy, from which the run continues.
     fetch_at : str or None
-        Host and port of the upstream that has shared parts of the prompt.
+        Host and port of the upstream from which shared parts of the prompt can be fetched.
     """
 
     upstream: str
@@ -98,16 +98,16 @@
 
 @attrs.frozen
 class AnswerFacts:
-    """What the head of an upstream's answer says.
+    """Metadata in the head of an upstream's answer.
 
     Parameters
     ----------
     not_run : bool
-        The upstream certainly did not run the request.
+        Whether the upstream certainly did not run the request.
     answered_by : str or None
-        Id of the incarnation that answered, if it says.
+        Id of the incarnation that answered, if the answer has it.
     sealed : bool
-        Whether a successful answer proves that it is the upstream's own.
+        Whether a successful answer has proof that it was made by the upstream itself.
     request_id : str or None
         Id of the request that is answered.
     weights_version : str or None
@@ -122,16 +122,17 @@
 
 @attrs.frozen
 class PlatformAddress:
-    """Where the platform is, and how long one call may take.
+    """Address of the platform, and time limit of one call.
 
     Parameters
     ----------
     address : str
         Host and port.
     timeout_s : float
-        Limit on a call that does not wait for news, seconds.
+        Limit on a call that does not wait for changes, seconds.
     now : callable
-        Reads the clock of the process, which counts the time that the VM was suspended.
+        Returns the time on the clock of the process, which counts the time for which the VM was
+        suspended.
     """
 
     address: str
@@ -141,14 +142,14 @@
 
 @attrs.frozen
 class ConfigReading:
-    """What a question for the configuration brought.
+    """Result of a query for the configuration.
 
     Parameters
     ----------
     config : ForwardConfig or None
-        None if the last one is still the newest.
+        The new configuration; None if the last one is still the newest.
     as_of : float
-        A moment at which that was true, on the clock of the process.
+        A time at which that was true, on the clock of the process.
     """
 
     config: ForwardConfig | None
@@ -156,7 +157,7 @@
 
 
 class ConfigSource(ABC):
-    """The newest configuration."""
+    """Source of the newest configuration."""
 
     @abstractmethod
     async def next(self, wait_s: float) -> Result[ConfigReading, TableError]:
@@ -170,11 +171,11 @@
 
 
 class UpstreamSource(ABC):
-    """The list of upstreams."""
+    """Source of the list of upstreams."""
 
     @abstractmethod
     async def next(self, wait_s: float) -> Result[UpstreamChanges, TableError]:
-        """Return the list at the first call, what changed since then at later ones."""
+        """Return the list at the first call, the changes since the last call at later ones."""
 
 
 @attrs.frozen
@@ -185,13 +186,13 @@
     ----------
     vm : str
     incarnation : str
-        Drawn anew at each start.
+        Generated at each start of the process.
     address : str
-        Host and port where it takes connections of other forwarders.
+        Host and port where it accepts connections of other forwarders.
     revision : int
-        Of its entry on the platform; 0 if it has none yet.
+        Revision of its entry on the platform; 0 if it has none yet.
     era : int
-        Of the store that holds the entry.
+        Era of the store that holds the entry.
     """
 
     vm: str
@@ -208,12 +209,12 @@
     Parameters
     ----------
     whole : bool
-        Whether ``listed`` holds all members; otherwise it holds what changed.
+        Whether ``listed`` holds all members; otherwise it holds those that changed.
     listed : tuple of Member
     removed : tuple of str
-        Names of VMs whose entries are gone.
+        Names of VMs whose entries were removed.
     after_return : bool
-        Whether this is the first reading since the store came back from a copy.
+        Whether this is the first reading since the store was restored from a copy.
     """
 
     whole: bool
@@ -223,17 +224,20 @@
 
 
 class MemberRegistry(ABC):
-    """The forwarders, as the platform keeps them."""
+    """Registry of the forwarders on the platform."""
 
     @abstractmethod
     async def join(self, member: Member) -> Result[bytes, TableError]:
-        """Enter a member and return the key that all members share; the first one draws it."""
+        """Register a member and return the key that all members share.
+
+        The first member generates the key.
+        """
 
     @abstractmethod
     async def rejoin(
         self, member: Member, key: bytes, shown: Member | None
     ) -> Result[bytes, TableError]:
-        """Enter a member, and the shared key, where a store that came back lacks them.
+        """Register a member and the shared key again if a restored store lacks them.
 
         Parameters
         ----------
@@ -241,7 +245,7 @@
         key : bytes
             The shared key that the member holds.
         shown : Member or None
-            What the store shows in its place.
+            The entry of its VM in the store.
 
         Returns
         -------
@@ -251,21 +255,21 @@
 
     @abstractmethod
     async def leave(self, member: Member) -> Result[None, TableError]:
-        """Take out a member unless its entry has changed meanwhile."""
+        """Remove a member unless its entry has changed in the meantime."""
 
     @abstractmethod
     async def next(self, wait_s: float) -> Result[MemberChanges, TableError]:
-        """Return the members at the first call, what changed since then at later ones."""
+        """Return the members at the first call, the changes since the last call at later ones."""
 
 
 class ForwardingPlatform(ABC):
-    """Everything that a forwarder needs of a platform.
+    """Everything that a forwarder needs from a platform.
 
     Parameters
     ----------
     address : PlatformAddress
     exchange : FeedExchange
-        What the other forwarders tell of the platform's tables.
+        Exchange of changes of the platform's tables with the other forwarders.
     """
 
     def __init__(self, address: PlatformAddress, exchange: FeedExchange):
@@ -296,7 +300,7 @@
     def read_request(
         self, method: str, target: str, headers: Mapping[str, str]
     ) -> Result[CallerRequest, str]:
-        """Return a caller's request, or what is wrong with it."""
+        """Return a caller's request, or the reason why it is invalid."""
 
     @abstractmethod
     def compose_headers(self, request: CallerRequest, terms: SendTerms) -> CIMultiDict[str]:
@@ -304,11 +308,11 @@
 
     @abstractmethod
     def read_answer(self, status: int, headers: Mapping[str, str]) -> AnswerFacts:
-        """Return what the head of an answer says."""
+        """Return the metadata in the head of an answer."""
 
     @abstractmethod
     def answer_headers(self, request: CallerRequest) -> dict[str, str]:
-        """Return the headers that an answer of the forwarder's own bears."""
+        """Return the headers of an answer that the forwarder makes itself."""
 
 
 forwarding_platforms: Registry[type[ForwardingPlatform]] = Registry("forwarding platform")
@@ -320,7 +324,7 @@
     Raises
     ------
     ImportError
-        If there is no such package.
+        If a package does not exist.
     """
     for package in packages:
         importlib.import_module(package)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_sent_prompt.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_sent_prompt.py
@@ -1,4 +1,4 @@
-"""A prompt that was sent to an upstream."""
+"""Prompt that was sent to an upstream."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.define(eq=False)
 class SentPrompt:
-    """A prompt on its way at an upstream, until its first token.
+    """A prompt that was sent to an upstream and has no first token yet.
 
     Parameters
     ----------
@@ -18,7 +18,7 @@
     prompt : Prompt
     placement : Placement
     ahead : int
-        Prompt tokens that were to be read before; none where it overtakes others.
+        Prompt tokens that the upstream has to read before it; 0 if it overtakes others.
     sent_at : float
     """
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_settings.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_settings.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class ForwarderPlatformSettings:
-    """Where the platform is, and which adapter speaks to it.
+    """Address of the platform, and the adapter for it.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
     address : str
         Host and port of the platform's store.
     timeout_s : float
-        Limit on a call that does not wait for news, seconds.
+        Limit on a call that does not wait for changes, seconds.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -51,9 +51,9 @@
     vm, failure_domain : str
         Identity of the process.
     listen, status_listen : str
-        Addresses for callers, and for readiness and metrics; port 0 takes a free one.
+        Addresses for callers, and for readiness and metrics; port 0 selects a free port.
     peer_listen : str or None
-        Address for other forwarders; None to know nothing of them.
+        Address for other forwarders; None to run without connections to them.
     platform : ForwarderPlatformSettings
     adapters : list of str
         Packages that register adapters.
@@ -61,17 +61,17 @@
     withdrawal_ms : float
         Time after which a withdrawn API key must not work anywhere, milliseconds.
     keys_fail_closed : bool
-        Whether keys are refused while nobody can tell if they were withdrawn.
+        Whether keys are refused while it is unknown if they were withdrawn.
     stop_limit_s : float
         Time from the signal to stop until the process is killed, seconds.
     leave_delay_s : float
-        How long a leaving process still takes requests, seconds: as long as the balancer needs to
-        notice.
+        How long a process that shuts down still accepts requests, seconds: as long as the load
+        balancer needs to notice.
     retry_ratio, retry_burst, retry_window_s : float
-        Repeats to a service in a window of time, by all processes together: a share of the
-        requests, and some more.
+        Retry budget of a service in a window of time, for all processes together: a ratio of the
+        requests, plus a constant number.
     mechanisms_off : list of str
-        Mechanisms that do not decide, see :class:`Mechanism`; taken over while the process runs.
+        Disabled mechanisms, see :class:`Mechanism`; can be changed while the process runs.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
