--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/__init__.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/__init__.py
@@ -1,7 +1,7 @@
-"""The forwarder: passes callers' HTTP requests to upstreams as they are.
+"""The forwarder: passes callers' HTTP requests to upstreams unchanged.
 
-Nothing stands between a forwarder and the upstreams, and nothing is kept. The process is in
-:mod:`burdockquay_transport.forwarding.forwarder`, so that the other roles do not load it.
+A forwarder connects to the upstreams directly and stores nothing. The process is in
+:mod:`burdockquay_transport.forwarding.forwarder`, so that the other roles do not import it.
 """
 
 from burdockquay_protocol import ChangedRow
@@ -23,7 +23,7 @@
     load_adapters,
 )
 from ._settings import ForwarderPlatformSettings, ForwarderSettings
-from ._table_feed import FeedExchange, TableFeed, TableNews, TableReading, TableStore
+from ._table_feed import FeedExchange, TableFeed, TableReading, TableStore, TableUpdate
 
 __all__ = [
     "AnswerFacts",
@@ -41,7 +41,7 @@
     "PlatformAddress",
     "SendTerms",
     "TableFeed",
-    "TableNews",
+    "TableUpdate",
     "TableReading",
     "TableStore",
     "UpstreamSource",
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_answers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_answers.py
@@ -1,4 +1,4 @@
-"""Takes the answers of upstreams, and passes on what is whole and the caller's own."""
+"""Check the answers of upstreams, and pass on what is complete and belongs to the request."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from burdockquay_coordination.forwarding import RouteKind, Upstream
 
 from ._call import Answered, Broke, ForwardCall, NotRun, Outcome
-from ._connections import SENT_ERRORS, BrokenError, check_end, read_body
+from ._connections import SENT_ERRORS, BrokenError, check_body_end, read_body
 from ._event_stream import EventSplitter, StreamEvent
 from ._headers import pass_on_headers
 from ._platform import AnswerFacts
 from ._state import ForwarderState
 
-PROMISES = frozenset({408, 421, 429, 503})
-"""Statuses that tell a caller that its request certainly has not run."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses from which a caller concludes that its request certainly has not run."""
 
 
-class AnswerTaker:
+class AnswerHandler:
     """Checks answers and passes them on.
 
     Parameters
@@ -31,10 +31,10 @@
     def __init__(self, state: ForwarderState):
         self.state = state
 
-    async def take(
+    async def handle(
         self, call: ForwardCall, upstream: Upstream, response: aiohttp.ClientResponse
     ) -> Outcome:
-        """Return what an answer is worth, once it was passed on or is ready to be.
+        """Return the outcome of a send, once its answer was passed on or is ready to be.
 
         Raises
         ------
@@ -43,19 +43,21 @@
         """
         facts = self.state.platform.read_answer(response.status, response.headers)
         if facts.request_id not in (None, call.request.id):
-            return broke(self.state, call, upstream, "answer to another request", crashed=False)
+            return record_broken(
+                self.state, call, upstream, "answer to another request", crashed=False
+            )
         if facts.not_run and facts.answered_by not in (None, upstream.id):
             self.state.book.drop(upstream)
             return NotRun(upstream, "another incarnation answered")
         if response.status < 300 and not facts.sealed:
-            return broke(
+            return record_broken(
                 self.state, call, upstream, "answer without proof of origin", crashed=False
             )
         if response.status < 300 and call.route.kind is RouteKind.STREAM:
-            return await self._take_stream(call, upstream, response, facts)
-        return await self._take_plain(call, upstream, response, facts)
+            return await self._handle_stream(call, upstream, response, facts)
+        return await self._handle_plain(call, upstream, response, facts)
 
-    async def _take_plain(
+    async def _handle_plain(
         self,
         call: ForwardCall,
         upstream: Upstream,
@@ -74,15 +76,15 @@
             body=body,
             headers=pass_on_headers(response.headers),
         )
-        if response.status < 500 and response.status not in PROMISES:
+        if response.status < 500 and response.status not in NOT_RUN_STATUSES:
             upstream.health.note_success(self.state.clock.now())
             return Answered(ready)
-        if response.status in PROMISES:
-            # The caller would take it for a promise that the request has not run.
+        if response.status in NOT_RUN_STATUSES:
+            # The caller would conclude that the request has not run.
             return Broke(upstream, f"status {response.status} without proof that it did not run")
         return Broke(upstream, f"status {response.status}", ready)
 
-    async def _take_stream(
+    async def _handle_stream(
         self,
         call: ForwardCall,
         upstream: Upstream,
@@ -96,49 +98,51 @@
         splitter = EventSplitter()
         first_at = None
         count = 0
-        async for data in _read_pieces(response):
+        async for data in _read_chunks(response):
             events = splitter.feed(data)
             count += len(events)
             if events:
                 now = self.state.clock.now()
-                call.note_events(now)
+                call.record_events(now)
                 first_at = first_at or now
-            await self._pass_on(call, events, response)
-        check_end(protocol)
+            await self._forward_events(call, events, response)
+        check_body_end(protocol)
         if splitter.rest:
-            return broke(self.state, call, upstream, "ended inside an event")
+            return record_broken(self.state, call, upstream, "ended inside an event")
         if call.answer is None:
-            await self._begin(call, response)
+            await self._write_head(call, response)
         await call.answer.write_eof()
         if call.by_prompt and first_at is not None:
-            self.state.dispatcher(call.service).learn_pace(
+            self.state.dispatcher(call.service).record_pace(
                 upstream,
                 call.request.prompt.answer_tokens,
                 count - 1,
                 self.state.clock.now() - first_at,
             )
-            self.state.dispatcher(call.service).learn_pause(call.route, call.longest_pause_s)
+            self.state.dispatcher(call.service).record_longest_pause(
+                call.route, call.longest_pause_s
+            )
         upstream.health.note_success(self.state.clock.now())
         return Answered(call.answer)
 
-    async def _pass_on(
+    async def _forward_events(
         self, call: ForwardCall, events: list[StreamEvent], response: aiohttp.ClientResponse
     ) -> None:
         if events:
-            self._note_first_token(call)
+            self._record_first_token(call)
         fresh = [event for event in events if _is_new(event, call.last_event)]
         if not fresh:
             return
         if call.answer is None:
-            await self._begin(call, response)
-        # The library buffers the events before it waits for a slow caller. A run that is ended in
-        # that wait goes on elsewhere, and must not repeat what the caller is about to get.
+            await self._write_head(call, response)
+        # The library buffers the events before it waits for a slow caller. A run that ends during
+        # that wait continues at another upstream and must not repeat the buffered events.
         for event in fresh:
             call.last_event = event.id or call.last_event
         await call.answer.write(b"".join(event.data for event in fresh))
 
-    async def _begin(self, call: ForwardCall, response: aiohttp.ClientResponse) -> None:
-        """Write the head of a stream to the caller; only now is it too late for another answer."""
+    async def _write_head(self, call: ForwardCall, response: aiohttp.ClientResponse) -> None:
+        """Write the head of a stream to the caller; after that, no other answer is possible."""
         answer = web.StreamResponse(
             status=response.status,
             reason=response.reason,
@@ -149,16 +153,16 @@
         call.answer = answer
         await answer.prepare(call.incoming)
 
-    def _note_first_token(self, call: ForwardCall) -> None:
+    def _record_first_token(self, call: ForwardCall) -> None:
         if call.sent is not None:
-            self.state.dispatcher(call.service).first_token(call.sent)
+            self.state.dispatcher(call.service).record_first_token(call.sent)
             call.sent = None
 
 
-def broke(
+def record_broken(
     state: ForwarderState, call: ForwardCall, upstream: Upstream, reason: str, crashed: bool = True
 ) -> Broke:
-    """Note that an upstream broke off a call, and return that outcome.
+    """Record that an upstream broke off a call, and return that outcome.
 
     Parameters
     ----------
@@ -171,7 +175,7 @@
     return Broke(upstream, reason, crashed=crashed)
 
 
-async def _read_pieces(response: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
+async def _read_chunks(response: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
     try:
         async for data in response.content.iter_any():
             yield data
@@ -180,7 +184,7 @@
 
 
 def _is_new(event: StreamEvent, last: str | None) -> bool:
-    """Return whether the caller does not have an event yet."""
+    """Return whether the caller has not received an event yet."""
     if last is None or event.number is None or not last.isdecimal():
         return True
     return event.number > int(last)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_call.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_call.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way through a forwarder."""
+"""State of one request of a caller while a forwarder serves it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.define(eq=False)
 class ForwardCall:
-    """What is known of a request while it is served.
+    """A request that is being served.
 
     Parameters
     ----------
@@ -29,16 +29,16 @@
         Priority; 0 is the most urgent.
     body : bytes
     started : float
-    ends : float
-        Time after which no answer is of use.
+    deadline : float
+        Time after which the caller does not wait any more.
     rank : int
-        Place in the order of all requests; 0 is the first.
+        Rank in the order of all requests; 0 is the first.
     tried : set of str
         Ids of the upstreams it was sent to.
     sends : int
-        Sends that may have arrived.
+        Number of sends that may have arrived.
     unreachable : int
-        Sends that came to no connection.
+        Number of sends without a connection.
     maybe_run : bool
         Whether an upstream may have run it.
     answer : web.StreamResponse or None
@@ -47,17 +47,17 @@
         Id of the last event that the caller has.
     weights_version : str or None
     backup : Upstream or None
-        Keeps a copy of the memory of the run.
-    goes_on_at : Upstream or None
-        Where the run goes on from such a copy.
+        Upstream that keeps a copy of the memory of the run.
+    continue_at : Upstream or None
+        Upstream at which the run continues from such a copy.
     first_at : float or None
-        When its first event came.
-    event_at : float or None
-        When its newest event came.
+        When its first event was received.
+    newest_event_at : float or None
+        When its newest event was received.
     longest_pause_s : float
         Longest time between two of its events, seconds.
     sent : SentPrompt or None
-        The prompt at its upstream, until the first token.
+        The prompt sent to its upstream, until the first token.
     """
 
     incoming: web.BaseRequest
@@ -68,7 +68,7 @@
     urgency: int
     body: bytes
     started: float
-    ends: float
+    deadline: float
     rank: int
     tried: set[str] = attrs.field(factory=set)
     sends: int = 0
@@ -78,23 +78,23 @@
     last_event: str | None = None
     weights_version: str | None = None
     backup: Upstream | None = None
-    goes_on_at: Upstream | None = None
+    continue_at: Upstream | None = None
     first_at: float | None = None
-    event_at: float | None = None
+    newest_event_at: float | None = None
     longest_pause_s: float = 0.0
     sent: SentPrompt | None = None
 
-    def note_events(self, now: float) -> None:
-        """Note that events came."""
-        if self.event_at is None:
+    def record_events(self, now: float) -> None:
+        """Record that events were received."""
+        if self.newest_event_at is None:
             self.first_at = now
         else:
-            self.longest_pause_s = max(self.longest_pause_s, now - self.event_at)
-        self.event_at = now
+            self.longest_pause_s = max(self.longest_pause_s, now - self.newest_event_at)
+        self.newest_event_at = now
 
     @property
     def class_labels(self) -> tuple[str, str]:
-        """Kind of the route and urgency, by which figures are kept apart."""
+        """Kind and priority of the route, by which the metrics of requests are labelled."""
         return (self.route.kind.value, str(self.route.priority))
 
     @property
@@ -104,12 +104,12 @@
 
     @property
     def wants_backup(self) -> bool:
-        """Whether only a copy of its memory lets another upstream go on with it."""
+        """Whether another upstream can continue it only from a copy of its memory."""
         return self.by_prompt and self.route.kind is RouteKind.STREAM and not self.route.can_resume
 
     @property
     def digest(self) -> str:
-        """Names the content of the request, the same for each repeat by its caller."""
+        """Digest of the content of the request, the same for each retry by its caller."""
         parts = (self.organisation or "", self.request.method, self.request.target)
         digest = hashlib.blake2b("\0".join(parts).encode(), digest_size=12)
         digest.update(self.body)
@@ -118,14 +118,14 @@
 
 @attrs.frozen
 class Answered:
-    """The caller has its answer, or it is ready to be written."""
+    """The answer was written to the caller, or is ready to be written."""
 
     response: web.StreamResponse
 
 
 @attrs.frozen
 class NotSent:
-    """No connection to the upstream came about."""
+    """No connection to the upstream was opened."""
 
     upstream: Upstream
     reason: str
@@ -141,14 +141,14 @@
 
 @attrs.frozen
 class Broke:
-    """The request was sent and may have run; there is no whole answer.
+    """The request was sent and may have run; there is no complete answer.
 
     Parameters
     ----------
     upstream : Upstream
     reason : str
     ready : web.Response or None
-        The upstream's own answer of a failure, to be passed on if nobody is left to ask.
+        The upstream's own failure answer, which is passed on if the request cannot be retried.
     crashed : bool
         Whether the connection broke, as it does when an upstream goes down.
     """
@@ -163,7 +163,7 @@
 
 
 def failure_of(call: ForwardCall) -> RequestError:
-    """Return what a caller is told when nobody is left to ask."""
+    """Return the error that is sent to a caller when no upstream can be tried any more."""
     if call.maybe_run:
         return RequestError(ErrorKind.UPSTREAM_FAILED)
     if call.sends:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_caller_connection.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_caller_connection.py
@@ -1,4 +1,4 @@
-"""The connections of callers, and what of a request lies in each."""
+"""Connections of callers, with the state of the request on each."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 class CallerConnection(web.RequestHandler):
     """A connection of a caller.
 
-    The library tells of a request once its head is whole. A process that stops must also know of
-    heads that are half read: closed as idle, their callers get neither an answer nor a refusal.
+    The library reports a request once its head is complete. A process that shuts down must also
+    detect partly received heads: if such a connection were closed as idle, its caller would get
+    neither an answer nor a refusal.
 
     Parameters
     ----------
     manager : Server
     now : callable
-        Reads the clock of the process.
+        Returns the time on the clock of the process, seconds.
     **options
         See :class:`aiohttp.web.Server`.
     """
@@ -27,78 +28,80 @@
     def __init__(self, manager: web.Server, now: Callable[[], float], **options: Any):
         super().__init__(manager, **options)
         self._now = now
-        self._part_at: float | None = None
+        self._partial_head_at: float | None = None
         self._is_used = False
         self._is_handling = False
-        self._is_last = False
+        self._is_closing = False
         self._body: StreamReader | None = None
 
     @property
     def is_idle(self) -> bool:
-        """Whether its requests are answered and no further one has begun to come.
+        """Whether its requests are answered and no part of another one was received.
 
-        One that had no request yet is not idle: its caller has opened it to send one.
+        A connection without any request yet is not idle: its caller opened it to send one.
         """
-        return self._is_used and not (self._is_handling or self._is_last or self.has_part)
+        return self._is_used and not (
+            self._is_handling or self._is_closing or self.has_partial_head
+        )
 
     @property
     def is_handling(self) -> bool:
-        """Whether a request is there as a whole and has no answer yet."""
+        """Whether a request with a complete head has no answer yet."""
         return self._is_handling and self.transport is not None
 
     @property
-    def has_part(self) -> bool:
-        """Whether a part of a request's head has come, and not yet the rest."""
-        return self._part_at is not None
+    def has_partial_head(self) -> bool:
+        """Whether the head of a request was received in part."""
+        return self._partial_head_at is not None
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes of answers that this process still holds."""
+        """Bytes of answers in the write buffer of this process."""
         return 0 if self.transport is None else self.transport.get_write_buffer_size()
 
-    def awaits_rest(self, now: float, wait_s: float) -> bool:
-        """Return whether part of a head came within a time, so that the rest may come too."""
-        return self._part_at is not None and now - self._part_at < wait_s
+    def awaits_rest_of_head(self, now: float, wait_s: float) -> bool:
+        """Return whether part of a head was received recently, so that the rest may follow."""
+        return self._partial_head_at is not None and now - self._partial_head_at < wait_s
 
     def data_received(self, data: bytes) -> None:
-        """Take in what the caller sends."""
+        """Process data from the caller."""
         awaits_head = not self._is_handling and (self._body is None or self._body.is_eof())
-        # Some callers send an empty line behind a body.
+        # Some callers send an empty line after a body.
         if awaits_head and data.strip(b"\r\n"):
-            self._part_at = self._now()
+            self._partial_head_at = self._now()
         known = self._request_count
         super().data_received(data)
         if self._request_count > known:
-            # Its handling begins a few rounds of the event loop later.
+            # The handler starts a few iterations of the event loop later.
             self._is_handling = True
-            self._part_at = None
+            self._partial_head_at = None
 
     def begin_request(self, body: StreamReader) -> None:
-        """Note that a request is handled from now on."""
+        """Record that the handling of a request begins."""
         self._is_used = self._is_handling = True
-        self._part_at = None
+        self._partial_head_at = None
         self._body = body
 
     def end_request(self, closes: bool) -> None:
-        """Note that a request has its answer.
+        """Record that a request was answered.
 
         Parameters
         ----------
         closes : bool
-            Whether the connection closes behind it.
+            Whether the connection is closed after the answer.
         """
         self._is_handling = False
         if closes:
-            # The library closes the connection behind the answer. Done to an idle connection, it
-            # would end the task that reads it and leave the connection open.
-            self._is_last = True
+            # The library closes the connection after the answer. On an idle connection, this call
+            # would end the task that reads from it and leave the connection open.
+            self._is_closing = True
             self.close()
 
-    def refuse_part(self, refusal: web.Response) -> None:
-        """Answer a request whose head has not come whole, and take in nothing more.
+    def refuse_partial_head(self, refusal: web.Response) -> None:
+        """Refuse a request whose head is incomplete, and accept no more data.
 
-        What still comes is dropped until the process closes the connection: closed at once, it
-        would be reset by the rest of the request, and the refusal might be lost.
+        Further data is dropped until the process closes the connection: if it were closed at once,
+        the rest of the request would cause a reset, and the refusal might be lost.
 
         Parameters
         ----------
@@ -112,26 +115,26 @@
         lines += [f"Content-Length: {len(refusal.body)}", "Connection: close", "", ""]
         self.transport.write("\r\n".join(lines).encode() + refusal.body)
         self.transport.write_eof()
-        self._part_at = None
+        self._partial_head_at = None
         self.close()
 
 
 class CallerServer(web.Server):
-    """Serves callers' connections.
+    """Server for the connections of callers.
 
     Parameters
     ----------
     handler : callable
         Answers one request.
     now : callable
-        Reads the clock of the process.
+        Returns the time on the clock of the process, seconds.
     **options
-        Of a connection; see :class:`aiohttp.web.Server`.
+        Options of a connection; see :class:`aiohttp.web.Server`.
     """
 
     def __init__(self, handler: Any, now: Callable[[], float], **options: Any):
-        # A caller that leaves must end its request at once, or an upstream would go on with work
-        # that nobody waits for.
+        # A caller that disconnects must cancel its request at once; otherwise an upstream would
+        # continue a run that nobody waits for.
         super().__init__(handler, handler_cancellation=True, **options)
         self._now = now
         self._options = options
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_connections.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_connections.py
@@ -1,4 +1,4 @@
-"""Connections from a forwarder to upstreams: one send, one answer."""
+"""HTTP connections from a forwarder to upstreams."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 from .._send_once import CONNECT_ERRORS, SendOnce
 
 CONNECT_TIMEOUT_S = 0.4
-"""Longest wait for a new connection, seconds. A lost opening packet is only sent again after a
-second, and another upstream is a few milliseconds away."""
+"""Longest wait for a new connection, seconds. A lost SYN packet is only sent again after a second,
+while another upstream can be reached within a few milliseconds."""
 
-STANDSTILL_S = 0.1
-"""Time beyond that limit from which on this process must have stood still, seconds."""
+STALL_MARGIN_S = 0.1
+"""Time beyond the connect timeout from which on this process must have stalled, seconds."""
 
-CHECK_TIMEOUT_S = 0.2
-"""Longest wait for the sign of life of an upstream that broke off an answer, seconds: many times
-the way to it, and short enough for its caller to wait."""
+LIVENESS_TIMEOUT_S = 0.2
+"""Longest wait for a connection when checking an upstream that broke off an answer, seconds: many
+times the network delay, and short enough for the caller to wait."""
 
-UNACKNOWLEDGED_MS = 1500
-"""Time without acknowledgement after which the kernel gives a connection up, milliseconds. A VM
-that went dark answers nothing at all, and without this a request would wait for its deadline."""
+UNACKNOWLEDGED_TIMEOUT_MS = 1500
+"""Time without acknowledgement after which the kernel drops a connection, milliseconds. A VM that
+became unreachable answers nothing at all; without this, a request would wait for its deadline."""
 
-PROBE_AFTER_S = 1
-"""Silence of a connection after which the kernel probes the other side, seconds."""
+KEEPALIVE_PROBE_AFTER_S = 1
+"""Idle time of a connection after which the kernel probes the other side, seconds."""
 
-IDLE_S = 3.0
+MAX_IDLE_S = 3.0
 """Longest time that an idle connection is kept, seconds. Upstreams close idle connections too; a
-request that meets such a close may or may not have run."""
+request sent while its connection is being closed may or may not have run."""
 
-MAX_HEAD_BYTES = 65536
-"""Longest line of an answer's head, bytes."""
+MAX_HEAD_LINE_BYTES = 65536
+"""Longest line in the head of an answer, bytes."""
 
 _OWN_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
-"""Headers that the client library would add; upstreams get those of the caller alone."""
+"""Headers that the client library would add; upstreams receive only those of the caller."""
 
 SENT_ERRORS = (aiohttp.ClientError, TimeoutError, ConnectionError, asyncio.IncompleteReadError)
-"""Errors after which the upstream may have got the request."""
+"""Errors after which the upstream may have received the request."""
 
 
 class NotSentError(Exception):
-    """No connection came about, so the upstream certainly did not get the request."""
+    """No connection was opened, so the upstream certainly did not receive the request."""
 
 
 class BrokenError(Exception):
@@ -66,10 +66,10 @@
     headers : CIMultiDict
     body : bytes
     reuse : bool
-        Whether a kept connection may be used: only for requests that may be sent again, since a
-        kept connection can be closed while a request is on its way.
+        Whether a keep-alive connection may be used: only for requests that may be sent again, since
+        such a connection can be closed while a request is in transit.
     check : callable
-        Called when the connection stands, before anything is written; raises to hold the send.
+        Called when the connection is open, before anything is written; raises to prevent the send.
     """
 
     upstream: ListedUpstream
@@ -82,28 +82,28 @@
 
 
 class UpstreamConnections:
-    """The client sessions of a forwarder; open it inside a running event loop."""
+    """Client sessions of a forwarder; call ``open`` inside a running event loop."""
 
     def __init__(self):
-        self._kept: aiohttp.ClientSession | None = None
+        self._reusing: aiohttp.ClientSession | None = None
         self._fresh: aiohttp.ClientSession | None = None
 
     def open(self) -> None:
-        """Make the sessions."""
-        self._kept = _make_session(reuse=True)
+        """Open the sessions."""
+        self._reusing = _make_session(reuse=True)
         self._fresh = _make_session(reuse=False)
 
     async def close(self) -> None:
         """Close all connections."""
-        for session in (self._kept, self._fresh):
+        for session in (self._reusing, self._fresh):
             if session is not None:
                 await session.close()
 
     async def send(self, send: Send) -> aiohttp.ClientResponse:
-        """Send a request and return the answer once its head is there.
+        """Send a request and return the answer once its head was received.
 
-        A connection that took longer than its limit by much did so because this process stood
-        still. It says nothing of the upstream, which would be left out, so another one is tried.
+        A connect timeout that fires much too late means that this process stalled. It says nothing
+        about the upstream, which would be excluded for it, so another connection is tried.
 
         Raises
         ------
@@ -115,12 +115,12 @@
         try:
             return await self._send(send)
         except NotSentError:
-            if clock() - begun < CONNECT_TIMEOUT_S + STANDSTILL_S:
+            if clock() - begun < CONNECT_TIMEOUT_S + STALL_MARGIN_S:
                 raise
         return await self._send(send)
 
     async def _send(self, send: Send) -> aiohttp.ClientResponse:
-        session = self._kept if send.reuse else self._fresh
+        session = self._reusing if send.reuse else self._fresh
         host, port = send.upstream.host, send.upstream.port
         try:
             return await session.request(
@@ -140,9 +140,9 @@
 
 
 async def accepts_connections(upstream: ListedUpstream) -> bool:
-    """Return whether an upstream takes a new connection; nothing is sent on it."""
+    """Return whether an upstream accepts a new connection; nothing is sent on it."""
     try:
-        async with asyncio.timeout(CHECK_TIMEOUT_S):
+        async with asyncio.timeout(LIVENESS_TIMEOUT_S):
             _, writer = await asyncio.open_connection(upstream.host, upstream.port)
     except (OSError, TimeoutError):
         return False
@@ -151,36 +151,36 @@
 
 
 async def read_body(response: aiohttp.ClientResponse) -> bytes:
-    """Return the whole body of an answer.
+    """Return the complete body of an answer.
 
     Raises
     ------
     BrokenError
-        If the body is not whole.
+        If the body is incomplete.
     """
     protocol = response.connection.protocol if response.connection else None
     try:
         body = await response.read()
     except SENT_ERRORS as error:
         raise BrokenError(type(error).__name__) from error
-    check_end(protocol)
+    check_body_end(protocol)
     return body
 
 
-def check_end(protocol: aiohttp.client_proto.ResponseHandler | None) -> None:
-    """Refuse the end of a body that is the reset of its connection.
+def check_body_end(protocol: aiohttp.client_proto.ResponseHandler | None) -> None:
+    """Raise if the body of an answer ended by a reset of its connection.
 
     Notes
     -----
     A body without a length ends with its connection, and the client library takes a reset for such
-    an end. A caller would get half an answer that looks whole.
+    an end. The caller would get a truncated answer that looks complete.
 
     Raises
     ------
     BrokenError
     """
     if protocol is not None and isinstance(protocol.exception(), OSError):
-        raise BrokenError("reset at the end of the body")
+        raise BrokenError("connection reset at the end of the body")
 
 
 def _make_session(reuse: bool) -> aiohttp.ClientSession:
@@ -188,15 +188,15 @@
         limit=0,
         force_close=not reuse,
         socket_factory=_make_socket,
-        **({"keepalive_timeout": IDLE_S} if reuse else {}),
+        **({"keepalive_timeout": MAX_IDLE_S} if reuse else {}),
     )
     return aiohttp.ClientSession(
         connector=connector,
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S),
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
-        max_line_size=MAX_HEAD_BYTES,
-        max_field_size=MAX_HEAD_BYTES,
+        max_line_size=MAX_HEAD_LINE_BYTES,
+        max_field_size=MAX_HEAD_LINE_BYTES,
         trace_configs=[_make_trace()],
     )
 
@@ -213,18 +213,18 @@
 
 
 def _make_socket(address_info: tuple) -> socket.socket:
-    """Return a socket that notices a silent peer."""
+    """Return a socket that detects a dead peer."""
     family, kind, proto, *_ = address_info
     made = socket.socket(family, kind, proto)
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    watch_silence(made)
+    enable_dead_peer_detection(made)
     return made
 
 
-def watch_silence(made: socket.socket) -> None:
-    """Let the kernel end a connection whose other side has fallen silent for good."""
+def enable_dead_peer_detection(made: socket.socket) -> None:
+    """Let the kernel close a connection whose other side does not respond any more."""
     made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
+    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_AFTER_S)
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
     made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
@@ -1,4 +1,4 @@
-"""Lets prompts wait for upstreams, and learns from what they bring."""
+"""Queue prompts until upstreams have capacity, and update the prediction model from answers."""
 
 from __future__ import annotations
 
@@ -30,25 +30,27 @@
 from ._call import ForwardCall
 from ._sent_prompt import SentPrompt
 
-LOOK_S = 0.02
-"""Time between two looks at what waits, seconds. Most starts come at once with the news that an
-upstream has read a prompt; this catches what only time changes."""
+EVALUATION_INTERVAL_S = 0.02
+"""Time between two evaluations of the queue, seconds. Most prompts start as soon as an update says
+that an upstream has read a prompt; the timer covers changes that only depend on time."""
 
-PAUSE_S = 0.004
-"""Shortest pause between two looks, seconds: unnoticed beside the tightest targets of prompts, some
-hundred milliseconds, and longer than the burst of news that one event of an upstream brings."""
+MIN_EVALUATION_PAUSE_S = 0.004
+"""Shortest pause between two evaluations, seconds: negligible compared with the tightest latency
+targets of some hundred milliseconds, and longer than the burst of updates that one event of an
+upstream causes."""
 
-PAUSE_RATIO = 3.0
-"""The same in times of what the last look took: looks take a quarter of a process at most."""
+EVALUATION_PAUSE_RATIO = 3.0
+"""Shortest pause as a multiple of the duration of the last evaluation: evaluations use a quarter of
+the time of a process at most."""
 
-SILENCE_SHARE = 0.6
-PATIENCE_SHARE = 0.33
-"""Parts of the silence that callers bear, and of their patience, after which a request that has not
-started is refused: its caller can still come back in time for a late answer."""
+MAX_WAIT_SILENCE_SHARE = 0.6
+MAX_WAIT_PATIENCE_SHARE = 0.33
+"""Shares of the longest silence that callers accept, and of their patience, after which a request
+that has not started is refused: its caller can still retry in time for a late answer."""
 
 
 class PromptDispatcher:
-    """Starts the prompts of one service in order, as upstreams have room.
+    """Starts the queued prompts of one service in order, as upstreams have capacity.
 
     Parameters
     ----------
@@ -56,9 +58,9 @@
     book : UpstreamBook
     clock : Clock
     targets : callable
-        Returns what the routes to the service demand now.
-    note_ratio : callable
-        Called with the ratio of each time to the first token to its prediction.
+        Returns the current latency targets of the routes to the service.
+    record_prediction_ratio : callable
+        Called with the ratio of each time to first token to its prediction.
     switches : Switches
     """
 
@@ -68,22 +70,22 @@
         book: UpstreamBook,
         clock: Clock,
         targets: Callable[[], ServiceTargets],
-        note_ratio: Callable[[float], None],
+        record_prediction_ratio: Callable[[float], None],
         switches: Switches,
     ):
         self.service = service
         self.book = book
         self.clock = clock
         self.targets = targets
-        self.note_ratio = note_ratio
+        self.record_prediction_ratio = record_prediction_ratio
         self.model = EngineModel(switches)
         self.queue = PromptQueue()
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = 0.0
-        self._next_look_at = float("-inf")
+        self._next_evaluation_at = float("-inf")
 
     async def start(self, call: ForwardCall) -> SentPrompt | None:
-        """Wait until a call may start, and note it at its upstream; None if there is no upstream.
+        """Wait until a call may start, and count it at its upstream; None if there is no upstream.
 
         Raises
         ------
@@ -91,29 +93,30 @@
             If it has waited too long.
         """
         if call.sends or call.unreachable:
-            # It waited before its first send, and its caller has been waiting since.
-            return self._send_at_once(call)
+            # A retry does not queue again: the call has waited before its first send.
+            return self._send_immediately(call)
         waiting = self._make_waiting(call)
         prompt = call.request.prompt
         self.model.pace.note_demand(
             waiting.demand.is_steady, prompt.own_tokens, prompt.answer_tokens
         )
         self.queue.add(waiting)
-        self.look()
+        self.evaluate()
         started = waiting.owner.started
         try:
             return await started
         except asyncio.CancelledError:
-            # The caller may leave in the moment between the start and its notice. What was noted at
-            # the upstream would stay there for ever, and the upstream would seem ever slower.
+            # The caller may disconnect after the call was started and before this task resumes.
+            # Without this, the call would be counted at the upstream for ever, and the upstream
+            # would be predicted to be ever slower.
             if started.done() and not started.cancelled() and started.result() is not None:
-                self.ended(started.result())
+                self.record_ended(started.result())
             raise
         finally:
             self.queue.remove(waiting)
 
-    def first_token(self, sent: SentPrompt) -> None:
-        """Note that the first token of a prompt came."""
+    def record_first_token(self, sent: SentPrompt) -> None:
+        """Record that the first token of a prompt was received."""
         now = self.clock.now()
         seconds = now - sent.sent_at
         upstream = sent.placement.upstream
@@ -134,7 +137,7 @@
             first_s=self.model.first_token.offset,
             factor=upstream.reading.value(now),
         )
-        self.note_ratio(seconds / sent.placement.first_token_s)
+        self.record_prediction_ratio(seconds / sent.placement.first_token_s)
         tokens, fetched = sent.placement.tokens, sent.placement.fetched_tokens
         self.model.learn_first_token(
             upstream, sent.ahead, tokens, seconds, now, fetched, sent.placement.is_short
@@ -142,52 +145,56 @@
         upstream.note_prompt(sent.prompt)
         self._remove(sent)
 
-    def learn_pace(self, upstream: Upstream, tokens: int, events: int, seconds: float) -> None:
-        """Learn from the pace of a whole answer behind its first event."""
+    def record_pace(self, upstream: Upstream, tokens: int, events: int, seconds: float) -> None:
+        """Update the model with the pace of a complete answer after its first event."""
         self.model.learn_answer(upstream, tokens, events, seconds, self.clock.now())
 
-    def ended(self, sent: SentPrompt) -> None:
-        """Note that a request ended before its first token."""
+    def record_ended(self, sent: SentPrompt) -> None:
+        """Record that a request ended before its first token."""
         sent.placement.upstream.note_abandoned(sent.prompt)
         self._remove(sent)
 
     def _remove(self, sent: SentPrompt) -> None:
         sent.placement.upstream.pending.remove(sent.call)
-        self.look()
+        self.evaluate()
 
-    def look(self) -> None:
-        """Start what may start and refuse what has waited too long, now or in a moment.
+    def evaluate(self) -> None:
+        """Start the calls that may start, and refuse those that have waited too long.
 
-        News of upstreams comes a hundred times in a second from a few dozen peers, and each may let
-        something start. A look takes longer the more waits, so that under load a slow process did
-        nothing else: it noticed only seconds later that callers had left, and engines worked for
-        nobody. The pause after a look is therefore a multiple of the time that it took.
+        After a recent evaluation, this is done at the end of a pause. A few dozen peers send a
+        hundred updates of upstreams per second, and each may allow a call to start. An evaluation
+        takes longer the longer the queue is. Without a pause, a slow process under load did nothing
+        else: it noticed only seconds later that callers had disconnected, and engines processed
+        requests that nobody waited for. The pause is therefore a multiple of the duration of the
+        last evaluation.
         """
         if not len(self.queue):
             return
         now = self.clock.now()
-        if now < self._next_look_at:
-            self._come_back(self._next_look_at - now)
+        if now < self._next_evaluation_at:
+            self._schedule_evaluation(self._next_evaluation_at - now)
             return
-        self._start_and_refuse(now)
+        self._start_and_refuse_due(now)
         took_s = self.clock.now() - now
-        self._next_look_at = now + took_s + max(PAUSE_S, PAUSE_RATIO * took_s)
+        self._next_evaluation_at = (
+            now + took_s + max(MIN_EVALUATION_PAUSE_S, EVALUATION_PAUSE_RATIO * took_s)
+        )
         if len(self.queue):
-            self._come_back(LOOK_S)
+            self._schedule_evaluation(EVALUATION_INTERVAL_S)
 
-    def _start_and_refuse(self, now: float) -> None:
+    def _start_and_refuse_due(self, now: float) -> None:
         upstreams = self._upstreams()
         self.model.processes = self.book.processes
         if not upstreams:
-            self._settle_all(None)
+            self._resolve_all(None)
         for start in self.queue.take_starts(upstreams, self.model, self.targets(), now):
-            owner: _Owner = start.waiting.owner
-            owner.settle(self._note_sent(owner.call, start.placement, now))
+            owner: _WaitingCall = start.waiting.owner
+            owner.resolve(self._record_sent(owner.call, start.placement, now))
         for waiting in self.queue.take_expired(now):
-            waiting.owner.refuse(RequestError(ErrorKind.OVERLOADED, self._describe_load(now)))
+            waiting.owner.refuse(RequestError(ErrorKind.OVERLOADED, self._describe_backlog(now)))
 
-    def _come_back(self, delay_s: float) -> None:
-        """Look again after a delay at the latest."""
+    def _schedule_evaluation(self, delay_s: float) -> None:
+        """Schedule the next evaluation after a delay, unless an earlier one is scheduled."""
         loop = asyncio.get_running_loop()
         due = loop.time() + delay_s
         if self._timer is not None:
@@ -195,26 +202,29 @@
                 return
             self._timer.cancel()
         self._timer_due = due
-        self._timer = loop.call_later(delay_s, self._look_again)
+        self._timer = loop.call_later(delay_s, self._on_timer)
 
-    def _look_again(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self.look()
+        self.evaluate()
 
     def _upstreams(self) -> list[Upstream]:
         return self.book.of_service(self.service)
 
-    def _describe_load(self, now: float) -> str:
+    def _describe_backlog(self, now: float) -> str:
         backlogs = [
             self.model.reading_s(item, item.pending.tokens(now), now)
             for item in self._upstreams()
             if item.takes_work()
         ]
         least = min(backlogs, default=0.0)
-        return f"{len(self.queue)} others wait; the least busy upstream has {least:.2f} s to read"
+        return (
+            f"{len(self.queue)} other requests are waiting; "
+            f"the least busy upstream has {least:.2f} s of prompts to read"
+        )
 
-    def learn_pause(self, route: ForwardRoute, longest_s: float) -> None:
-        """Learn from the longest pause between two events of a whole answer."""
+    def record_longest_pause(self, route: ForwardRoute, longest_s: float) -> None:
+        """Update the model with the longest pause between two events of a complete answer."""
         targets = self.targets()
         if targets.shortest_pause_s is not None:
             is_steady = targets.is_steady(route)
@@ -222,37 +232,37 @@
 
     def _make_waiting(self, call: ForwardCall) -> WaitingPrompt:
         silence = call.route.silence_s or call.route.timeout_s
-        patience = call.ends - call.started
-        hold_s = min(SILENCE_SHARE * silence, PATIENCE_SHARE * patience)
+        patience = call.deadline - call.started
+        hold_s = min(MAX_WAIT_SILENCE_SHARE * silence, MAX_WAIT_PATIENCE_SHARE * patience)
         return WaitingPrompt(
-            self._demand_of(call),
+            self._make_demand(call),
             call.urgency,
             call.started + call.route.target_s,
             call.started + hold_s,
             call.tried,
-            _Owner(call, asyncio.get_running_loop().create_future()),
+            _WaitingCall(call, asyncio.get_running_loop().create_future()),
             rank=call.rank,
         )
 
-    def _demand_of(self, call: ForwardCall) -> Demand:
+    def _make_demand(self, call: ForwardCall) -> Demand:
         uses_short = self.model.switches.uses(Mechanism.SHORT_FIRST)
         short_s = SHORT_SHARE * self.targets().tightest_s if uses_short else 0.0
-        patience_s = call.ends - call.started
+        patience_s = call.deadline - call.started
         is_steady = self.targets().is_steady(call.route)
         return Demand(call.request.prompt, call.route.target_s, patience_s, short_s, is_steady)
 
-    def _settle_all(self, result: SentPrompt | None) -> None:
+    def _resolve_all(self, result: SentPrompt | None) -> None:
         for waiting in self.queue.take_all():
-            waiting.owner.settle(result)
+            waiting.owner.resolve(result)
 
-    def _send_at_once(self, call: ForwardCall) -> SentPrompt | None:
+    def _send_immediately(self, call: ForwardCall) -> SentPrompt | None:
         now = self.clock.now()
         placement = place_prompt(
-            self._upstreams(), self._demand_of(call), self.model, call.tried, now
+            self._upstreams(), self._make_demand(call), self.model, call.tried, now
         )
-        return None if placement is None else self._note_sent(call, placement, now)
+        return None if placement is None else self._record_sent(call, placement, now)
 
-    def _note_sent(self, call: ForwardCall, placement: Placement, now: float) -> SentPrompt:
+    def _record_sent(self, call: ForwardCall, placement: Placement, now: float) -> SentPrompt:
         upstream = placement.upstream
         ahead = 0 if placement.is_short else upstream.pending.tokens(now)
         prompt = call.request.prompt
@@ -263,8 +273,8 @@
 
 
 @attrs.define(eq=False)
-class _Owner:
-    """The call behind a waiting prompt.
+class _WaitingCall:
+    """The call that a waiting prompt belongs to.
 
     Parameters
     ----------
@@ -276,7 +286,7 @@
     call: ForwardCall
     started: asyncio.Future
 
-    def settle(self, result: SentPrompt | None) -> None:
+    def resolve(self, result: SentPrompt | None) -> None:
         if not self.started.done():
             self.started.set_result(result)
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
@@ -1,4 +1,4 @@
-"""Keeps configuration and upstreams of a forwarder up to date."""
+"""Keep the configuration and the upstreams of a forwarder up to date."""
 
 from __future__ import annotations
 
@@ -12,75 +12,76 @@
 from .._events import Event, log_event
 from ._state import ForwarderState
 
-NEWS_WAIT_S = 1.7
-"""How long the platform holds a question for news, seconds. Each answer confirms what is known, so
-this is also the age that the configuration reaches on a calm day."""
+CONFIG_LONG_POLL_S = 1.7
+"""How long the platform may hold a query for changes of the configuration, seconds. Each answer
+confirms the known configuration, so this is also the age that it reaches in normal operation."""
 
 FIRST_ERA = 1
-"""Era of a store that has never come back from a copy."""
+"""Era of a store that has never been restored from a copy."""
 
-LIST_WAIT_S = 2.5
-"""The same for the list of upstreams, seconds. Nothing lapses here; the end of the wait only shows
-that the connection still lives."""
+UPSTREAMS_LONG_POLL_S = 2.5
+"""The same for the list of upstreams, seconds. Nothing expires here; the answer at the end only
+shows that the connection still works."""
 
-FIRST_PAUSE_S = 0.05
-MAX_PAUSE_S = 0.6
-"""Pauses after failed questions, seconds: doubled from the first to the last, with jitter. Keys are
-honoured for 3.6 s after the last answer (of 5 s), so some questions fit in before they lapse."""
+FIRST_RETRY_PAUSE_S = 0.05
+MAX_RETRY_PAUSE_S = 0.6
+"""Pauses after failed queries, seconds: doubled from the first to the longest, with jitter. API
+keys are honoured for 3.6 s (of 5 s) after the last answer, so that some queries fit in before that
+time ends."""
 
-GATHER_S = 0.1
-"""Pause after news of upstreams before the next question, seconds: when many start or leave
-together, one answer brings the changes of a tenth of a second. Short beside the two seconds and
-more that a leaving upstream still serves."""
+BATCH_PAUSE_S = 0.1
+"""Pause after a change of the upstreams before the next query, seconds: when many start or shut
+down together, one answer has the changes of a tenth of a second. Short compared with the two
+seconds or more for which a draining upstream still serves."""
 
-SETTLE_S = 0.25
-"""Time between two looks at upstreams that vanished from the list, seconds."""
+SETTLE_INTERVAL_S = 0.25
+"""Time between two checks of the upstreams that vanished from the list, seconds."""
 
 
-class _Pauses:
-    """Growing pauses between failed questions, and one log line for each loss and return."""
+class _RetryBackoff:
+    """Exponential pauses after failed queries, and one log line for each failure and recovery."""
 
-    def __init__(self, state: ForwarderState, lost: Event, regained: Event):
+    def __init__(self, state: ForwarderState, failed_event: Event, recovered_event: Event):
         self.state = state
-        self.lost = lost
-        self.regained = regained
-        self._pause_s = FIRST_PAUSE_S
+        self.failed_event = failed_event
+        self.recovered_event = recovered_event
+        self._pause_s = FIRST_RETRY_PAUSE_S
         self._failing = False
 
     async def after_failure(self, error: TableError) -> None:
-        """Wait before the next question."""
+        """Wait before the next query."""
         if not self._failing:
-            log_event(self.lost, reason=error.kind, detail=error.detail)
+            log_event(self.failed_event, reason=error.kind, detail=error.detail)
         self._failing = True
         await asyncio.sleep(self._pause_s * self.state.rng.uniform(0.5, 1.0))
-        self._pause_s = min(self._pause_s * 2, MAX_PAUSE_S)
+        self._pause_s = min(self._pause_s * 2, MAX_RETRY_PAUSE_S)
 
-    def note_success(self) -> None:
-        """Begin with short pauses again."""
+    def record_success(self) -> None:
+        """Reset the pause to the shortest one."""
         if self._failing:
-            log_event(self.regained)
+            log_event(self.recovered_event)
         self._failing = False
-        self._pause_s = FIRST_PAUSE_S
+        self._pause_s = FIRST_RETRY_PAUSE_S
 
 
 async def follow_configuration(state: ForwarderState) -> None:
-    """Apply each new configuration and confirm the present one, until cancelled."""
+    """Apply each new configuration and confirm the current one, until cancelled."""
     source = state.platform.configuration()
-    pauses = _Pauses(state, Event.TABLE_UNAVAILABLE, Event.TABLE_RECOVERED)
+    backoff = _RetryBackoff(state, Event.TABLE_UNAVAILABLE, Event.TABLE_RECOVERED)
     while True:
-        read = await source.next(NEWS_WAIT_S)
+        read = await source.next(CONFIG_LONG_POLL_S)
         if isinstance(read, Err):
-            await pauses.after_failure(read.err())
+            await backoff.after_failure(read.err())
             continue
-        pauses.note_success()
+        backoff.record_success()
         reading = read.ok()
         if reading.config is not None:
-            _take_configuration(state, reading.config, reading.as_of)
+            _apply_configuration(state, reading.config, reading.as_of)
         state.confirm_configuration(reading.as_of)
-        state.note_read("configuration")
+        state.record_read("configuration")
 
 
-def _take_configuration(state: ForwarderState, config: ForwardConfig, as_of: float) -> None:
+def _apply_configuration(state: ForwarderState, config: ForwardConfig, as_of: float) -> None:
     now = state.clock.now()
     state.standing.note_shown(config.version, now)
     if state.directory is None and state.platform.exchange.era.newest > FIRST_ERA:
@@ -105,20 +106,20 @@
 async def follow_upstreams(state: ForwarderState) -> None:
     """Apply each change of the list of upstreams, until cancelled."""
     source = state.platform.upstreams()
-    pauses = _Pauses(state, Event.VM_LIST_UNREADABLE, Event.VM_LIST_RECOVERED)
+    backoff = _RetryBackoff(state, Event.VM_LIST_UNREADABLE, Event.VM_LIST_RECOVERED)
     while True:
-        read = await source.next(LIST_WAIT_S)
+        read = await source.next(UPSTREAMS_LONG_POLL_S)
         now = state.clock.now()
         if isinstance(read, Err):
             state.book.note_trouble(now)
-            await pauses.after_failure(read.err())
+            await backoff.after_failure(read.err())
             continue
-        pauses.note_success()
+        backoff.record_success()
         changes = read.ok()
-        over = state.book.apply(changes, now)
-        state.note_read("upstreams")
-        for incarnation in over:
-            state.note_down(incarnation)
+        ended = state.book.apply(changes, now)
+        state.record_read("upstreams")
+        for incarnation in ended:
+            state.record_down(incarnation)
         if changes.after_return:
             _log_kept(state.book, changes)
         if changes.listed or changes.removed or changes.unreadable:
@@ -128,14 +129,14 @@
                 leaving=",".join(entry.id for entry in changes.listed if entry.leaving),
                 removed=",".join(changes.removed),
                 unreadable=",".join(entry.id for entry in changes.unreadable),
-                over=",".join(over),
+                over=",".join(ended),
                 known=len(state.book),
             )
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_PAUSE_S)
 
 
 def _log_kept(book: UpstreamBook, changes: UpstreamChanges) -> None:
-    """Log what is known better than a store that came back from a copy shows it."""
+    """Log which known entries are kept although a store restored from a copy differs."""
     listed = {entry.id for entry in changes.listed if not entry.leaving}
     leaving = [item.id for item in book.all() if item.entry.leaving and item.id in listed]
     log_event(
@@ -147,7 +148,7 @@
 
 
 async def settle_upstreams(state: ForwarderState) -> None:
-    """Drop vanished upstreams once the list can be trusted again, until cancelled."""
+    """Remove vanished upstreams once the list can be trusted again, until cancelled."""
     while True:
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(SETTLE_INTERVAL_S)
         state.book.settle(state.clock.now())
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_ingress.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_ingress.py
@@ -1,4 +1,4 @@
-"""The HTTP that callers speak to a forwarder."""
+"""HTTP server for the callers of a forwarder."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from .._early_listener import BACKLOG, EarlyListener
 from .._events import Event, describe_fault, log_event
 from .._take_in import accept_waiting, read_what_came
-from ._arrival import BACKLOG_S, ArrivalClock
+from ._arrival import STARTUP_BACKLOG_S, ArrivalClock
 from ._call import ForwardCall
 from ._caller_connection import CallerConnection, CallerServer
 from ._platform import CallerRequest
@@ -29,40 +29,41 @@
 from ._state import ForwarderState
 
 BODY_TIMEOUT_S = 10.0
-"""Longest time a caller may take to send its body, seconds."""
+"""Longest time that a caller may take to send its body, seconds."""
 
 MAX_BODY_BYTES = 16 << 20
-"""Largest body where the configuration names no limit, bytes."""
+"""Largest body if the configuration sets no limit, bytes."""
 
-MAX_HEAD_BYTES = 65536
-"""Longest line of a request's head, bytes."""
+MAX_HEAD_LINE_BYTES = 65536
+"""Longest line in the head of a request, bytes."""
 
 IDLE_CONNECTION_S = 300.0
 """Time after which an idle connection of a caller is closed, seconds; longer than callers reuse
-one, so that none sends a request into a close."""
+one, so that no request is sent on a connection that is being closed."""
 
 WRITE_S = 0.1
-"""Time for the writing of an answer that is ready, seconds; the rest of a slow reader is in the
-buffer of the connection by then."""
+"""Time to write an answer that is ready, seconds; what a slow reader has not received by then is in
+the buffer of the connection."""
 
-LOOK_S = 0.02
-"""Time between two looks at connections whose answers are out, seconds."""
+UNFINISHED_POLL_S = 0.02
+"""Poll interval for connections with unfinished requests once no answer is being written,
+seconds."""
 
-PART_WAIT_S = 2.0
-"""Longest wait for more of a head that is half read, seconds."""
+PARTIAL_HEAD_TIMEOUT_S = 2.0
+"""Longest wait for the rest of a head that was partly received, seconds."""
 
-ANSWER_S = 0.3
-"""Longest wait until the answers of a process that ends are written, seconds."""
+FINAL_ANSWERS_TIMEOUT_S = 0.3
+"""Longest wait until the answers of a process that shuts down are written, seconds."""
 
-CLOSE_S = 0.3
-"""Longest wait for connections that close with the process, seconds; their answers are out."""
+CLOSE_TIMEOUT_S = 0.3
+"""Longest wait for connections to close with the process, seconds; their answers are written."""
 
-LOST_CALLER = (ConnectionResetError, ConnectionAbortedError, BrokenPipeError)
-"""Errors of a write to a caller that has left."""
+CALLER_DISCONNECTED_ERRORS = (ConnectionResetError, ConnectionAbortedError, BrokenPipeError)
+"""Errors of a write to a caller that has disconnected."""
 
 
 class Ingress:
-    """Serves callers.
+    """Accepts the requests of callers and answers them.
 
     Parameters
     ----------
@@ -74,19 +75,19 @@
         self._relay = Relay(state)
         self._refusals = Refusals(state)
         self._handling: set[asyncio.Task] = set()
-        # With those whose answers are being written.
+        # Also includes the requests whose answers are being written.
         self._answering: set[asyncio.Task] = set()
         self._refuses_new = False
         self._has_ended = False
 
     @property
     def held(self) -> int:
-        """Requests of callers that are not answered yet."""
+        """Number of requests of callers that are not answered yet."""
         return len(self._handling)
 
     @property
     def port(self) -> int:
-        """Port it listens on."""
+        """Port that it listens on."""
         return self._port
 
     async def start(self, early: EarlyListener) -> None:
@@ -96,60 +97,63 @@
             self.state.clock.now,
             keepalive_timeout=IDLE_CONNECTION_S,
             access_log=None,
-            max_line_size=MAX_HEAD_BYTES,
-            max_field_size=MAX_HEAD_BYTES,
+            max_line_size=MAX_HEAD_LINE_BYTES,
+            max_field_size=MAX_HEAD_LINE_BYTES,
             auto_decompress=False,
         )
-        self._runner = web.ServerRunner(self._server, shutdown_timeout=CLOSE_S)
+        self._runner = web.ServerRunner(self._server, shutdown_timeout=CLOSE_TIMEOUT_S)
         await self._runner.setup()
         self._listening = early.listening
         self._site = web.SockSite(self._runner, early.listening, backlog=BACKLOG)
         now = self.state.clock.now()
-        self._arrivals = ArrivalClock(now - early.age(), now + BACKLOG_S)
+        self._arrivals = ArrivalClock(now - early.age(), now + STARTUP_BACKLOG_S)
         await self._site.start()
         self._port = self._runner.addresses[0][1]
 
     async def refuse_new(self) -> None:
-        """Take no new connection, and close each connection once its answer is out.
+        """Accept no new connection, and close each connection once its answer is written.
 
-        A request that came on a kept connection much later would be cut by the end of the process.
+        A request that arrives on a keep-alive connection much later would be cut off by the end of
+        the process.
         """
         await self._stop_listening()
-        # An answer that was ready a moment ago may still be on its way to the socket.
+        # An answer that has just become ready may not have been written to the socket yet.
         await asyncio.sleep(WRITE_S)
-        # What came while this process was busy is read before anything is closed: its caller would
-        # get neither an answer nor a refusal.
+        # Read the requests that arrived while this process was busy before anything is closed:
+        # otherwise their callers would get neither an answer nor a refusal.
         await read_what_came()
         for connection in self._server.connections:
             if connection.is_idle and connection.transport is not None:
                 connection.transport.close()
 
     async def finish_all(self) -> None:
-        """Wait until every caller has its answer, as far as this process can tell."""
+        """Wait until all answers are written and no request is left that this process can see."""
         while self._answering or self._has_unfinished():
             if self._answering:
                 await asyncio.wait(set(self._answering))
             else:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(UNFINISHED_POLL_S)
 
     async def answer_all(self) -> None:
-        """End what still runs, with an error for each request whose answer has not begun.
+        """Cancel the running calls, and send an error for each whose answer has not begun.
 
         A caller whose connection is closed instead cannot tell whether its request has run.
         """
-        # From here on each request is refused as soon as it is read.
+        # From here on, each request is refused as soon as it is read.
         self._has_ended = True
         await self._stop_listening()
         await read_what_came()
         for task in self._handling:
             task.cancel()
         if self._answering:
-            await asyncio.wait(set(self._answering), timeout=ANSWER_S)
-        parts = self._parts()
-        for connection in parts:
+            await asyncio.wait(set(self._answering), timeout=FINAL_ANSWERS_TIMEOUT_S)
+        partial = self._parts()
+        for connection in partial:
             leaving = RequestError(ErrorKind.LEAVING)
-            connection.refuse_part(self._refusals.answer(None, self.state.clock.now(), leaving))
-        if parts:
+            connection.refuse_partial_head(
+                self._refusals.answer(None, self.state.clock.now(), leaving)
+            )
+        if partial:
             await asyncio.sleep(WRITE_S)
 
     async def _stop_listening(self) -> None:
@@ -160,18 +164,20 @@
         await self._site.stop()
 
     def _has_unfinished(self) -> bool:
-        """Return whether a request is there or may come, or a part of an answer is unsent."""
+        """Return whether a request is handled or partly received, or an answer is partly unsent."""
         now = self.state.clock.now()
         return any(
             connection.is_handling
             or connection.unsent_bytes
-            or connection.awaits_rest(now, PART_WAIT_S)
+            or connection.awaits_rest_of_head(now, PARTIAL_HEAD_TIMEOUT_S)
             for connection in self._server.connections
         )
 
     def _parts(self) -> list[CallerConnection]:
-        """Return the connections on which a head is half read."""
-        return [connection for connection in self._server.connections if connection.has_part]
+        """Return the connections on which the head of a request was partly received."""
+        return [
+            connection for connection in self._server.connections if connection.has_partial_head
+        ]
 
     async def close(self) -> None:
         """Stop listening."""
@@ -195,7 +201,7 @@
     async def _serve(self, incoming: web.BaseRequest) -> web.StreamResponse:
         now = self.state.clock.now()
         started = self._arrivals.arrival(incoming.transport, now)
-        self.state.figures.unread.observe(now - started)
+        self.state.metrics.unread.observe(now - started)
         read = self.state.platform.read_request(
             incoming.method, incoming.raw_path, incoming.headers
         )
@@ -217,9 +223,9 @@
 
     async def _run(self, call: ForwardCall) -> web.StreamResponse:
         try:
-            async with asyncio.timeout(call.ends - self.state.clock.now()):
+            async with asyncio.timeout(call.deadline - self.state.clock.now()):
                 response = await self._relay.run(call)
-            self._note_end(call, response.status, "")
+            self._record_end(call, response.status, "")
             return response
         except CallError as failure:
             return self._fail(call, failure.error)
@@ -231,38 +237,38 @@
                 asyncio.current_task().uncancel()
                 kind = ErrorKind.OUTCOME_UNKNOWN if call.maybe_run else ErrorKind.LEAVING
                 return self._fail(call, RequestError(kind))
-            self._note_end(call, 0, "caller left")
+            self._record_end(call, 0, "caller left")
             raise
-        except LOST_CALLER:
-            self._note_end(call, 0, "caller left")
+        except CALLER_DISCONNECTED_ERRORS:
+            self._record_end(call, 0, "caller left")
             return call.answer or web.Response()
         except Exception as error:  # noqa: BLE001
             log_event(Event.INTERNAL_ERROR, where="forwarded call", error=describe_fault(error))
             return self._fail(call, RequestError(ErrorKind.INTERNAL))
 
     def _fail(self, call: ForwardCall, error: RequestError) -> web.StreamResponse:
-        """Answer a call that ended without a whole answer of an upstream.
+        """Answer a call that ended without a complete answer from an upstream.
 
-        An answer that has begun is cut off: with a proper end of its body it would look whole.
+        An answer that has begun is cut off: with a regular end of its body it would look complete.
         """
         if call.answer is None:
             refusal = self._refusals.answer(call.request, call.started, error)
-            self._note_end(call, refusal.status, error.kind.value)
+            self._record_end(call, refusal.status, error.kind.value)
             return refusal
-        self._note_end(call, error.answer.status, f"cut: {error.kind.value}")
+        self._record_end(call, error.answer.status, f"cut: {error.kind.value}")
         if call.incoming.transport is not None:
             call.incoming.transport.abort()
         return call.answer
 
-    def _note_end(self, call: ForwardCall, status: int, reason: str) -> None:
+    def _record_end(self, call: ForwardCall, status: int, reason: str) -> None:
         now = self.state.clock.now()
         seconds = now - call.started
-        figures = self.state.figures
-        figures.calls.labels(*call.class_labels, str(status)).inc()
-        figures.whole.labels(*call.class_labels).observe(seconds)
+        metrics = self.state.metrics
+        metrics.calls.labels(*call.class_labels, str(status)).inc()
+        metrics.whole.labels(*call.class_labels).observe(seconds)
         if call.first_at is not None or call.answer is None:
             first_s = (call.first_at or now) - call.started
-            figures.first.labels(*call.class_labels).observe(first_s)
+            metrics.first.labels(*call.class_labels).observe(first_s)
         log_event(
             Event.CALL_ENDED,
             request=call.request.id,
@@ -275,7 +281,7 @@
             last_event=call.last_event,
             first_s=None if call.first_at is None else call.first_at - call.started,
             seconds=seconds,
-            longest_pause_s=call.longest_pause_s if call.event_at is not None else None,
+            longest_pause_s=call.longest_pause_s if call.newest_event_at is not None else None,
             target_s=call.route.target_s,
             pause_target_s=call.route.pause_target_s,
         )
@@ -283,7 +289,7 @@
     async def _admit(
         self, incoming: web.BaseRequest, request: CallerRequest, started: float
     ) -> ForwardCall:
-        """Return the call that a request stands for.
+        """Check a request, read its body and return its call.
 
         Raises
         ------
@@ -292,7 +298,7 @@
         """
         if self._has_ended:
             raise CallError(RequestError(ErrorKind.LEAVING))
-        await self.state.wait_for_first_reads()
+        await self.state.wait_for_required_reads()
         directory = self.state.directory
         if directory is None:
             raise CallError(RequestError(ErrorKind.NOT_READY))
@@ -303,7 +309,7 @@
         if request.patience_s is not None:
             patience = min(patience, request.patience_s)
         if patience <= 0:
-            # The decisions weigh times against the patience and cannot do so with none.
+            # The placement divides times by the patience, which must not be 0.
             raise CallError(RequestError(ErrorKind.DEADLINE_EXCEEDED))
         call = ForwardCall(
             incoming,
@@ -324,7 +330,7 @@
     def _find_route(self, directory: ConfigDirectory, request: CallerRequest) -> ForwardRoute:
         route = directory.find_route(request.host, request.path)
         if route is None:
-            raise CallError(self._unless_stale(ErrorKind.NOT_FOUND))
+            raise CallError(self._refusal_unless_stale(ErrorKind.NOT_FOUND))
         return route
 
     def _find_organisation(
@@ -334,13 +340,13 @@
             return None
         found = directory.find_organisation(request.api_key or "")
         if found is None:
-            raise CallError(self._unless_stale(ErrorKind.UNAUTHENTICATED))
+            raise CallError(self._refusal_unless_stale(ErrorKind.UNAUTHENTICATED))
         if not self.state.keys_trusted(self.state.clock.now()):
             raise CallError(RequestError(ErrorKind.CONFIGURATION_STALE))
         return found
 
-    def _unless_stale(self, kind: ErrorKind) -> RequestError:
-        """Return a refusal for good, unless a configuration not seen yet may allow the request."""
+    def _refusal_unless_stale(self, kind: ErrorKind) -> RequestError:
+        """Return a final refusal, unless a configuration not received yet may allow the request."""
         if self.state.lease.is_fresh(self.state.clock.now()):
             return RequestError(kind)
         return RequestError(ErrorKind.CONFIGURATION_STALE)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
@@ -1,4 +1,4 @@
-"""What the forwarders tell each other of their requests at the upstreams."""
+"""Exchange of the load at the upstreams between forwarders."""
 
 from __future__ import annotations
 
@@ -31,43 +31,45 @@
 from .._peer import Identity, PeerConnection
 from ._state import ForwarderState
 
-REPEAT_S = 1.0
-"""Time after which unchanged figures are told again, seconds, so that they are not taken for those
-of a process that is gone."""
+REPEAT_INTERVAL_S = 1.0
+"""Time after which unchanged values are sent again, seconds, so that receivers do not take the
+sender for unavailable."""
 
 RECENT_PARTS_S = 5.0
-"""Age up to which prompt parts read by this process are told again to a new relay, seconds: the one
-before may have been lost with them. Longer than a relay is left before it is tried again."""
+"""Age up to which prompt parts read by this process are sent again to a new relay, seconds: the
+previous relay may have failed before it passed them on. Longer than the time for which a relay is
+left out before it is tried again."""
 
-MAX_KNOWN_PARTS = 4000
-"""Most prompt parts that a process which has just started is told of, some hundred kilobytes."""
+MAX_INITIAL_PARTS = 4000
+"""Most prompt parts sent to a process which has just started, some hundred kilobytes."""
 
-NEW_S = 5.0
-"""Time after its connection came up in which a process counts as new, seconds. Only such a one is
-told all that upstreams hold: the others were told by the relay before this one."""
+NEW_PEER_S = 5.0
+"""Time after its connection was opened in which a process counts as new, seconds. Only a new
+process is sent all prompt parts that upstreams hold: the others received them from the previous
+relay."""
 
-MAX_PARTS_OF_NEW = 200
-"""Most prompt parts told by a process that is new itself: all others seem new to it, and know as
-much as it does."""
+MAX_INITIAL_PARTS_FROM_NEW = 200
+"""Most prompt parts sent by a process that is new itself: all others seem new to it, and have
+received as many parts as it has."""
 
 ELSEWHERE = "elsewhere"
-"""Source of the figures that a relay adds up for this process."""
+"""Source name of the loads that a relay adds up for this process."""
 
 Post = Callable[[Iterable[PeerConnection], Any], None]
 
 
 @attrs.frozen
 class RelayTargets:
-    """Whom this process speaks to about upstreams.
+    """The peers to which this process sends loads and outcomes.
 
     Parameters
     ----------
     relay : PeerConnection or None
-        The relay of its failure domain, None if it is that itself or has none.
+        The relay of its failure domain; None if this process is the relay or there is none.
     near : mapping of str to PeerConnection
-        The processes of its failure domain that hear from it as their relay, by incarnation.
+        The processes of its failure domain that use it as their relay, by incarnation.
     far : mapping of str to PeerConnection
-        The relays of the other failure domains that hear from it.
+        The relays of the other failure domains, if this process is a relay.
     """
 
     relay: PeerConnection | None
@@ -75,35 +77,35 @@
     far: Mapping[str, PeerConnection]
 
 
-class RepeatedNews:
-    """Something that is told when it changes, and again after a while."""
+class ChangeRepeater:
+    """Decides when to send a value: when it changes, and at a fixed interval without changes."""
 
     def __init__(self):
-        self._told: Any = None
-        self._told_at = float("-inf")
+        self._sent: Any = None
+        self._sent_at = float("-inf")
 
-    def is_due(self, news: Any, now: float) -> bool:
-        """Return whether to tell it now, and take it as told if so."""
-        if news == self._told and now - self._told_at < REPEAT_S:
+    def is_due(self, value: Any, now: float) -> bool:
+        """Return whether to send a value now, and record it as sent if so."""
+        if value == self._sent and now - self._sent_at < REPEAT_INTERVAL_S:
             return False
-        self._told = news
-        self._told_at = now
+        self._sent = value
+        self._sent_at = now
         return True
 
-    def forget(self) -> None:
-        """Tell it anew: a process that has just connected knows nothing."""
-        self._told_at = float("-inf")
+    def reset(self) -> None:
+        """Make the value due: a process that has just connected has not received it."""
+        self._sent_at = float("-inf")
 
 
 class LoadSharing:
-    """Tells the others what this process has at the upstreams, and takes in what they say.
+    """Sends the load of this process at the upstreams to peers, and applies the loads of others.
 
     Parameters
     ----------
     state : ForwarderState
     identity : Identity
     post : callable
-        Sends a message to some connections.
+        Sends a message on some connections.
     """
 
     def __init__(self, state: ForwarderState, identity: Identity, post: Post):
@@ -116,25 +118,25 @@
         self._started_at = state.clock.now()
         self._ranked: list[str] = [identity.incarnation]
         self._ranked_far: dict[str, list[str]] = {}
-        self._earlier_release: list[PeerConnection] = []
-        self._watch = RelayWatch()
-        self._watches_far: dict[str, RelayWatch] = defaultdict(RelayWatch)
+        self._legacy_peers: list[PeerConnection] = []
+        self._near_watch = RelayWatch()
+        self._far_watches: dict[str, RelayWatch] = defaultdict(RelayWatch)
         self._chosen: str | None = None
         self._near: list[str] = []
-        self._heard_at = float("-inf")
+        self._received_at = float("-inf")
         self._far: list[str] = []
         self._recent_parts: deque[tuple[float, UpstreamLoad]] = deque(maxlen=200)
-        self._told = RepeatedNews()
-        self._named_by: dict[str, set[str]] = {}
+        self._repeater = ChangeRepeater()
+        self._upstreams_by_source: dict[str, set[str]] = {}
 
     @property
     def is_relay(self) -> bool:
-        """Whether this process adds up the figures of its failure domain."""
+        """Whether this process adds up the loads of its failure domain."""
         return self._chosen == self.identity.incarnation
 
     @property
     def targets(self) -> RelayTargets:
-        """Whom this process speaks to now."""
+        """The peers to which this process sends now."""
         peers = self._peers
         return RelayTargets(
             None if self.is_relay else peers.get(self._chosen),
@@ -143,120 +145,121 @@
         )
 
     def age(self, now: float) -> float:
-        """Return the time since this process heard of the requests of others, seconds."""
-        return now - self._heard_at
+        """Return the time since this process last received the loads of others, seconds."""
+        return now - self._received_at
 
     @property
     def served(self) -> int:
-        """How many processes hear from this one as their relay."""
+        """Number of processes that use this one as their relay."""
         return len(self._near)
 
-    def note_peers(self, peers: Mapping[str, PeerConnection]) -> None:
-        """Take over which processes are connected, by incarnation."""
-        for gone in self._peers.keys() - peers.keys():
-            self.relay.forget(gone)
-            self._take(gone, [], is_whole=True)
+    def set_peers(self, peers: Mapping[str, PeerConnection]) -> None:
+        """Set which processes are connected, by incarnation."""
+        for disconnected in self._peers.keys() - peers.keys():
+            self.relay.forget(disconnected)
+            self._apply(disconnected, [], is_whole=True)
         self._peers = dict(peers)
         now = self.state.clock.now()
         self._connected_at = {name: self._connected_at.get(name, now) for name in peers}
-        speaking = {
+        with_relays = {
             name: peer.peer.failure_domain
             for name, peer in peers.items()
             if peer.version >= LoadsOfDomain.since
         }
-        self._earlier_release = [
-            peer for peer in peers.values() if peer.version < LoadsOfDomain.since
-        ]
-        by_domain = split_by_domain(speaking)
+        self._legacy_peers = [peer for peer in peers.values() if peer.version < LoadsOfDomain.since]
+        by_domain = split_by_domain(with_relays)
         near = by_domain.pop(self.identity.failure_domain, [])
         self._ranked = rank_processes("relay", [self.identity.incarnation, *near])
         self._ranked_far = {
             domain: rank_processes("relay", names) for domain, names in by_domain.items()
         }
-        self._told.forget()
+        self._repeater.reset()
 
     def tell(self) -> None:
-        """Tell the relay what this process has, and the others what they wait for as its relay."""
+        """Send own loads to the relay, and as a relay pass on those of others."""
         now = self.state.clock.now()
         self._choose_relay(now)
         self._choose_targets(now)
         loads = [
-            _describe(upstream.incarnation, upstream.share(), upstream.take_untold_parts())
+            _make_load(upstream.incarnation, upstream.share(), upstream.take_untold_parts())
             for upstream in self.state.book.all()
             if upstream.outstanding or upstream.untold_parts
         ]
         self._recent_parts.extend((now, load) for load in loads if load.parts)
-        self._hear_for_others(self.identity.incarnation, loads, now)
-        told = list(self._earlier_release)
+        self._receive_for_relaying(self.identity.incarnation, loads, now)
+        recipients = list(self._legacy_peers)
         if not self.is_relay and self._chosen in self._peers:
-            told.append(self._peers[self._chosen])
-        if told and self._told.is_due(loads, now):
-            self.post(told, UpstreamLoads(loads))
-        self._pass_on(now)
+            recipients.append(self._peers[self._chosen])
+        if recipients and self._repeater.is_due(loads, now):
+            self.post(recipients, UpstreamLoads(loads))
+        self._send_pending(now)
 
-    def hear(self, peer: PeerConnection, message: UpstreamLoads) -> None:
-        """Take in what another process has."""
+    def receive(self, peer: PeerConnection, message: UpstreamLoads) -> None:
+        """Apply the loads of another process."""
         name = peer.peer.incarnation
         if peer.version >= LoadsOfDomain.since:
-            self._hear_for_others(name, message.loads, self.state.clock.now())
+            self._receive_for_relaying(name, message.loads, self.state.clock.now())
             if not self.is_relay:
-                # Its figures come by the relay of this process too.
+                # The relay of this process sends the same loads.
                 return
-        self._take(name, message.loads, is_whole=True)
+        self._apply(name, message.loads, is_whole=True)
 
-    def hear_domain(self, peer: PeerConnection, message: LoadsOfDomain) -> None:
-        """Take in what another failure domain has."""
+    def receive_domain(self, peer: PeerConnection, message: LoadsOfDomain) -> None:
+        """Apply the loads of another failure domain."""
         now = self.state.clock.now()
-        self._watches_far[message.domain].note_heard(peer.peer.incarnation, now)
+        self._far_watches[message.domain].note_heard(peer.peer.incarnation, now)
         source = f"domain {message.domain}"
-        shares = {load.upstream: _share(load) for load in message.loads}
+        shares = {load.upstream: _load_share(load) for load in message.loads}
         self.relay.hear(source, shares, now, False, message.is_whole)
-        self._hear_parts(source, message.loads)
+        self._receive_parts(source, message.loads)
         if self.is_relay:
-            self._take(source, message.loads, message.is_whole)
+            self._apply(source, message.loads, message.is_whole)
 
-    def hear_elsewhere(self, peer: PeerConnection, message: LoadsElsewhere) -> None:
-        """Take in what all other processes have, as a relay adds it up."""
-        self._watch.note_heard(peer.peer.incarnation, self.state.clock.now())
+    def receive_elsewhere(self, peer: PeerConnection, message: LoadsElsewhere) -> None:
+        """Apply the loads of all other processes as added up by a relay."""
+        self._near_watch.note_heard(peer.peer.incarnation, self.state.clock.now())
         if peer.peer.incarnation == self._chosen:
-            self._take(ELSEWHERE, message.loads, message.is_whole)
+            self._apply(ELSEWHERE, message.loads, message.is_whole)
 
     def _choose_relay(self, now: float) -> None:
         me = self.identity.incarnation
-        chosen = self._watch.choose(self._ranked, now, me)
+        chosen = self._near_watch.choose(self._ranked, now, me)
         if chosen == self._chosen:
             return
         was_relay = self.is_relay
         self._chosen = chosen
-        self._told.forget()
-        self._tell_parts_again(now)
+        self._repeater.reset()
+        self._requeue_recent_parts(now)
         if was_relay or self.is_relay:
-            # Figures of the same processes come by another way from now on.
-            for source in list(self._named_by):
-                self._take(source, [], is_whole=True)
+            # From now on, the loads of the same processes are received from another source.
+            for source in list(self._upstreams_by_source):
+                self._apply(source, [], is_whole=True)
 
-    def _tell_parts_again(self, now: float) -> None:
+    def _requeue_recent_parts(self, now: float) -> None:
         for at, load in self._recent_parts:
             upstream = self.state.book.find(load.upstream)
             if upstream is not None and now - at <= RECENT_PARTS_S:
                 upstream.untold_parts |= {part.id: part.tokens for part in load.parts}
 
-    def _hear_for_others(self, source: str, loads: list[UpstreamLoad], now: float) -> None:
-        shares = {load.upstream: _share(load) for load in loads}
+    def _receive_for_relaying(self, source: str, loads: list[UpstreamLoad], now: float) -> None:
+        shares = {load.upstream: _load_share(load) for load in loads}
         self.relay.hear(source, shares, now, is_near=True)
-        self._hear_parts(source, loads)
+        self._receive_parts(source, loads)
 
-    def _hear_parts(self, source: str, loads: Iterable[UpstreamLoad]) -> None:
+    def _receive_parts(self, source: str, loads: Iterable[UpstreamLoad]) -> None:
         for load in loads:
             if load.parts:
                 parts = {part.id: part.tokens for part in load.parts}
                 self.relay.hear_parts(source, load.upstream, parts)
-                self._give_to_relay(source, load.upstream, parts)
+                self._queue_parts_for_relay(source, load.upstream, parts)
 
-    def _give_to_relay(self, source: str, incarnation: str, parts: Mapping[str, int]) -> None:
-        """Tell the relay what came to this process instead, as while another one takes its place.
+    def _queue_parts_for_relay(
+        self, source: str, incarnation: str, parts: Mapping[str, int]
+    ) -> None:
+        """Queue parts for the relay that peers sent to this process instead.
 
-        Parts are told once; they would stay unknown to the whole failure domain.
+        That happens while the relay changes. Each part is sent only once, so that otherwise no
+        process of the failure domain would receive it.
         """
         upstream = self.state.book.find(incarnation)
         if upstream is not None and not self.is_relay and source != self.identity.incarnation:
@@ -265,83 +268,86 @@
                 upstream.memory.note(part, tokens)
 
     def _choose_targets(self, now: float) -> None:
-        """Find those who chose this process as their relay, and the relays of the other domains."""
+        """Find the processes that use this one as relay, and the relays of the other domains."""
         me = self.identity.incarnation
         near = [name for name in self.relay.near_sources(now) if name != me]
         far = []
         if self.is_relay:
             for domain, ranked in self._ranked_far.items():
-                far.append(self._watches_far[domain].choose(ranked, now))
+                far.append(self._far_watches[domain].choose(ranked, now))
         self._near = near
         self._far = far
         for name in self.relay.set_targets(near, far):
-            if now - self._connected_at.get(name, now) < NEW_S:
-                self._tell_known_parts(name, now)
+            if now - self._connected_at.get(name, now) < NEW_PEER_S:
+                self._queue_known_parts(name, now)
 
-    def _pass_on(self, now: float) -> None:
-        """Tell all targets what is new."""
-        for name, news in self.relay.compose_all(now).items():
+    def _send_pending(self, now: float) -> None:
+        """Send all targets the changes since the last message."""
+        for name, changes in self.relay.compose_all(now).items():
             if name in self._peers:
-                self.post([self._peers[name]], self._message(news, is_far=name in self._far))
+                self.post([self._peers[name]], self._message(changes, is_far=name in self._far))
 
-    def _tell_known_parts(self, target: str, now: float) -> None:
-        """Tell a process what upstreams have in memory: one that has just started knows nothing.
+    def _queue_known_parts(self, target: str, now: float) -> None:
+        """Queue for a new process the prompt parts that upstreams have in memory.
 
-        It would have shared parts read elsewhere that are in memory.
+        Without them, it would have upstreams process shared parts again that others have cached.
         """
-        is_new = now - self._started_at < NEW_S
-        most = MAX_PARTS_OF_NEW if is_new else MAX_KNOWN_PARTS
+        is_new = now - self._started_at < NEW_PEER_S
+        most = MAX_INITIAL_PARTS_FROM_NEW if is_new else MAX_INITIAL_PARTS
         upstreams = self.state.book.all()
         for upstream in upstreams:
             parts = upstream.memory.newest(math.ceil(most / len(upstreams)))
             if parts:
                 self.relay.add_parts(target, upstream.incarnation, parts)
 
-    def _message(self, news: LoadNews, is_far: bool) -> LoadsOfDomain | LoadsElsewhere:
+    def _message(self, changes: LoadNews, is_far: bool) -> LoadsOfDomain | LoadsElsewhere:
         loads = [
-            _describe(name, share, news.parts.get(name, {})) for name, share in news.shares.items()
+            _make_load(name, share, changes.parts.get(name, {}))
+            for name, share in changes.shares.items()
         ]
         if is_far:
-            return LoadsOfDomain(self.identity.failure_domain, news.is_whole, loads)
-        return LoadsElsewhere(news.is_whole, loads)
+            return LoadsOfDomain(self.identity.failure_domain, changes.is_whole, loads)
+        return LoadsElsewhere(changes.is_whole, loads)
 
-    def _take(self, source: str, loads: list[UpstreamLoad], is_whole: bool) -> None:
-        """Take over the figures of one source."""
+    def _apply(self, source: str, loads: list[UpstreamLoad], is_whole: bool) -> None:
+        """Apply the loads of one source."""
         now = self.state.clock.now()
-        self._heard_at = now
+        self._received_at = now
         book = self.state.book
         if self.state.switches.uses(Mechanism.SHARED_LOADS):
-            named = {load.upstream for load in loads}
-            known = self._named_by.get(source, set())
-            for incarnation in known - named if is_whole else ():
-                _hear(book, incarnation, source, NO_LOAD, now)
+            listed = {load.upstream for load in loads}
+            known = self._upstreams_by_source.get(source, set())
+            for incarnation in known - listed if is_whole else ():
+                _apply_share(book, incarnation, source, NO_LOAD, now)
             for load in loads:
-                _hear(book, load.upstream, source, _share(load), now)
-            self._named_by[source] = named if is_whole else known | named
+                _apply_share(book, load.upstream, source, _load_share(load), now)
+            self._upstreams_by_source[source] = listed if is_whole else known | listed
         if self.state.switches.uses(Mechanism.SHARED_PARTS):
-            _note_parts(book, loads)
-        self.state.look_at_waiting()
+            _record_parts(book, loads)
+        self.state.evaluate_waiting()
 
 
-def _hear(book: UpstreamBook, incarnation: str, source: str, share: LoadShare, now: float) -> None:
-    # Processes hear that an upstream started again at different moments. Figures of another
-    # incarnation than the one known here are not of it.
+def _apply_share(
+    book: UpstreamBook, incarnation: str, source: str, share: LoadShare, now: float
+) -> None:
+    # Processes receive the restart of an upstream at different times. Loads of another incarnation
+    # than the one known here do not belong to it.
     upstream = book.find(incarnation)
     if upstream is not None:
         upstream.pending.hear(source, share, now)
 
 
-def _note_parts(book: UpstreamBook, loads: Iterable[UpstreamLoad]) -> None:
+def _record_parts(book: UpstreamBook, loads: Iterable[UpstreamLoad]) -> None:
     for load in loads:
         upstream = book.find(load.upstream) if load.parts else None
         for part in load.parts if upstream is not None else ():
             upstream.memory.note(part.id, part.tokens)
 
 
-def _share(load: UpstreamLoad) -> LoadShare:
+def _load_share(load: UpstreamLoad) -> LoadShare:
     return LoadShare(load.prompt_tokens, load.running)
 
 
-def _describe(incarnation: str, share: LoadShare, parts: Mapping[str, int]) -> UpstreamLoad:
-    told = [PromptPart(id_, tokens) for id_, tokens in parts.items()]
-    return UpstreamLoad(incarnation, share.tokens, share.running, told)
+def _make_load(incarnation: str, share: LoadShare, parts: Mapping[str, int]) -> UpstreamLoad:
+    sent = [PromptPart(id_, tokens) for id_, tokens in parts.items()]
+    return UpstreamLoad(incarnation, share.tokens, share.running, sent)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_member_book.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_member_book.py
@@ -1,4 +1,4 @@
-"""The forwarders that one knows of, also while the platform's store lacks some of them."""
+"""Members known to a forwarder, also while a restored store lacks some of them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from ._platform import Member, MemberChanges
 
 REJOIN_WAIT_S = 4.0
-"""How long a member is kept that the store lacks after its return from a copy, seconds: it has two
-seconds to enter itself again once it has heard of the return, and the news takes a second or two
-each way."""
+"""How long a member is kept that the store lacks after it was restored from a copy, seconds: the
+member has two seconds to register again once it has detected the restore, and the updates take a
+second or two each way."""
 
 
 @attrs.frozen
 class _Unconfirmed:
-    """A member that a copy lacks or shows otherwise; ``shown`` counts from ``until`` on."""
+    """A member that a copy lacks or shows differently; ``shown`` applies from ``until`` on."""
 
     shown: Member | None
     until: float
@@ -25,19 +25,19 @@
 class MemberBook:
     """Members by VM.
 
-    A store that comes back from a copy shows the members of some seconds ago. Those that are
-    missing there, or stand there with a former process, live and enter themselves again. Were they
-    dropped meanwhile, the connections to them would end.
+    A store that was restored from a copy shows the members of some seconds ago. Members that it
+    lacks, or shows with a former process, are alive and register again. If they were dropped
+    meanwhile, the connections to them would be closed.
 
     Examples
     --------
     >>> book = MemberBook()
     >>> first = Member("a", "a1", "10.0.0.1:7200")
-    >>> sorted(book.take(MemberChanges(True, (first,)), now=0.0))
+    >>> sorted(book.apply(MemberChanges(True, (first,)), now=0.0))
     ['a']
-    >>> book.take(MemberChanges(True, after_return=True), now=5.0), len(book)
+    >>> book.apply(MemberChanges(True, after_return=True), now=5.0), len(book)
     (set(), 1)
-    >>> book.take(MemberChanges(False), now=9.5), len(book)
+    >>> book.apply(MemberChanges(False), now=9.5), len(book)
     ({'a'}, 0)
     """
 
@@ -52,18 +52,18 @@
         """Return the member on a VM."""
         return self._members.get(vm)
 
-    def take(self, changes: MemberChanges, now: float) -> set[str]:
-        """Take over a reading.
+    def apply(self, changes: MemberChanges, now: float) -> set[str]:
+        """Apply a reading.
 
         Returns
         -------
         set of str
-            VMs whose members are new, gone or others than before.
+            VMs whose members are new, removed or replaced.
         """
         before = dict(self._members)
         listed = {member.vm: member for member in changes.listed}
         if changes.after_return:
-            self._take_copy(listed, now)
+            self._apply_copy(listed, now)
         else:
             removed = set(changes.removed)
             if changes.whole:
@@ -75,19 +75,19 @@
             self._members |= listed
         self._settle(now)
         known = {*before, *self._members}
-        return {vm for vm in known if _is_other(before.get(vm), self._members.get(vm))}
+        return {vm for vm in known if _is_replaced(before.get(vm), self._members.get(vm))}
 
-    def _take_copy(self, listed: Mapping[str, Member], now: float) -> None:
+    def _apply_copy(self, listed: Mapping[str, Member], now: float) -> None:
         for vm in {*self._members, *listed}:
             known, shown = self._members.get(vm), listed.get(vm)
-            if known is None or not _is_other(known, shown):
+            if known is None or not _is_replaced(known, shown):
                 self._members[vm] = shown
                 self._unconfirmed.pop(vm, None)
             else:
                 self._unconfirmed[vm] = _Unconfirmed(shown, now + REJOIN_WAIT_S)
 
     def _settle(self, now: float) -> None:
-        """Believe the store of members that have not entered themselves again."""
+        """Apply the state of the store to members that have not registered again in time."""
         due = [vm for vm, kept in self._unconfirmed.items() if now >= kept.until]
         for vm in due:
             shown = self._unconfirmed.pop(vm).shown
@@ -97,10 +97,10 @@
                 self._members[vm] = shown
 
 
-def _is_other(known: Member | None, shown: Member | None) -> bool:
-    """Return whether there is another process, or none, where there was one.
+def _is_replaced(known: Member | None, shown: Member | None) -> bool:
+    """Return whether a member was added, removed or replaced by another process.
 
-    An entry that was only written again is the same: connections that stand stay.
+    An entry that was only written again is the same member: open connections are kept.
     """
     if known is None or shown is None:
         return known is not shown
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_outcome_sharing.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_outcome_sharing.py
@@ -1,4 +1,4 @@
-"""What the forwarders tell each other of how requests end at the upstreams."""
+"""Exchange of the outcomes of requests at the upstreams between forwarders."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from ._load_sharing import Post, RelayTargets
 from ._state import ForwarderState
 
-TELL_S = 0.4
-"""Time between two messages that tell of whole answers alone, seconds. Failures do not wait: until
-others hear of them they send to the same upstream, which looks idle."""
+SUCCESS_INTERVAL_S = 0.4
+"""Time between two messages that report complete answers alone, seconds. Failures are sent without
+this delay: until others receive them, they send requests to the same upstream, which looks idle."""
 
 
 class OutcomeSharing:
-    """Tells the others how requests of this process ended, and takes in what they say.
+    """Sends peers the outcomes of the requests of this process, and applies those of others.
 
     Parameters
     ----------
     state : ForwarderState
     identity : Identity
     post : callable
-        Sends a message to some connections.
+        Sends a message on some connections.
     """
 
     def __init__(self, state: ForwarderState, identity: Identity, post: Post):
@@ -40,54 +40,54 @@
         self.identity = identity
         self.post = post
         self._ledger = OutcomeLedger()
-        self._own: dict[str, Outcomes] = {}
-        self._told_at = float("-inf")
+        self._unsent_own: dict[str, Outcomes] = {}
+        self._sent_at = float("-inf")
 
-    def tell(self, targets: RelayTargets) -> None:
-        """Tell the relay what this process saw, and the others what they wait for as its relay."""
+    def send(self, targets: RelayTargets) -> None:
+        """Send own outcomes to the relay, and as a relay pass on those of others."""
         now = self.state.clock.now()
-        is_due = now - self._told_at >= TELL_S
+        is_due = now - self._sent_at >= SUCCESS_INTERVAL_S
         if is_due:
-            self._told_at = now
+            self._sent_at = now
         self._ledger.set_targets(targets.near, targets.far)
-        self._tell_own(targets.relay, is_due)
+        self._send_own(targets.relay, is_due)
         for name, peer in {**targets.near, **targets.far}.items():
             if is_due or self._ledger.has_failures(name):
-                self._post_to(peer, self._ledger.take(name))
+                self._send_to(peer, self._ledger.take(name))
 
-    def hear(self, peer: PeerConnection, message: UpstreamOutcomes) -> None:
-        """Take in how requests of others ended."""
-        heard = {told.upstream: _read(told) for told in message.outcomes}
+    def receive(self, peer: PeerConnection, message: UpstreamOutcomes) -> None:
+        """Apply the outcomes of requests of others."""
+        received = {item.upstream: _decode(item) for item in message.outcomes}
         is_near = peer.peer.failure_domain == self.identity.failure_domain
-        self._ledger.hear(peer.peer.incarnation, heard, is_near)
+        self._ledger.hear(peer.peer.incarnation, received, is_near)
         if not self.state.switches.uses(Mechanism.SHARED_OUTCOMES):
             return
         now = self.state.clock.now()
-        for incarnation, outcomes in heard.items():
+        for incarnation, outcomes in received.items():
             upstream = self.state.book.find(incarnation)
             if upstream is not None:
-                _hear(upstream, outcomes, now)
+                _apply_outcomes(upstream, outcomes, now)
 
-    def _tell_own(self, relay: PeerConnection | None, is_due: bool) -> None:
+    def _send_own(self, relay: PeerConnection | None, is_due: bool) -> None:
         new = {
             upstream.incarnation: outcomes
             for upstream in self.state.book.all()
             if (outcomes := upstream.health.take_untold_outcomes()) is not None
         }
         self._ledger.hear(self.identity.incarnation, new, is_near=True)
-        add_outcomes(self._own, new)
-        if is_due or any(outcomes.failed for outcomes in self._own.values()):
-            own, self._own = self._own, {}
+        add_outcomes(self._unsent_own, new)
+        if is_due or any(outcomes.failed for outcomes in self._unsent_own.values()):
+            own, self._unsent_own = self._unsent_own, {}
             if relay is not None:
-                self._post_to(relay, own)
+                self._send_to(relay, own)
 
-    def _post_to(self, peer: PeerConnection, outcomes: OutcomesByUpstream) -> None:
+    def _send_to(self, peer: PeerConnection, outcomes: OutcomesByUpstream) -> None:
         if outcomes and peer.version >= UpstreamOutcomes.since:
-            told = [UpstreamOutcome(name, *attrs.astuple(item)) for name, item in outcomes.items()]
-            self.post([peer], UpstreamOutcomes(told))
+            sent = [UpstreamOutcome(name, *attrs.astuple(item)) for name, item in outcomes.items()]
+            self.post([peer], UpstreamOutcomes(sent))
 
 
-def _hear(upstream: Upstream, outcomes: Outcomes, now: float) -> None:
+def _apply_outcomes(upstream: Upstream, outcomes: Outcomes, now: float) -> None:
     health = upstream.health
     was_avoided = health.is_avoided(now)
     health.hear_outcomes(outcomes, now)
@@ -102,5 +102,5 @@
         )
 
 
-def _read(told: UpstreamOutcome) -> Outcomes:
-    return Outcomes(told.whole, told.failed, told.unreachable)
+def _decode(outcome: UpstreamOutcome) -> Outcomes:
+    return Outcomes(outcome.whole, outcome.failed, outcome.unreachable)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_refusals.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_refusals.py
@@ -1,4 +1,4 @@
-"""Answers of a forwarder's own: what callers are told when there is none of an upstream."""
+"""Error answers that a forwarder sends when there is no answer from an upstream."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from burdockquay_protocol import ErrorKind, RequestError
 
 from .._events import Event, log_event
-from ._answers import PROMISES
+from ._answers import NOT_RUN_STATUSES
 from ._platform import CallerRequest
 from ._state import ForwarderState
 
-HERE_ALONE = frozenset({ErrorKind.CONFIGURATION_STALE, ErrorKind.NOT_READY})
-"""Refusals whose reason may hold at this process alone."""
+PROCESS_LOCAL_KINDS = frozenset({ErrorKind.CONFIGURATION_STALE, ErrorKind.NOT_READY})
+"""Kinds of refusals whose reason may apply to this process only."""
 
 
 class Refusals:
-    """Turns errors into answers.
+    """Converts errors to answers.
 
     Parameters
     ----------
@@ -30,23 +30,23 @@
     def answer(
         self, request: CallerRequest | None, started: float, error: RequestError
     ) -> web.Response:
-        """Return the answer of the forwarder's own that tells an error, and log it.
+        """Return the answer for an error, and log it.
 
         Parameters
         ----------
         request : CallerRequest or None
             None if it could not be read.
         started : float
-            When it came.
+            When it arrived.
         error : RequestError
         """
         answer = error.answer
         headers = self.state.platform.answer_headers(request) if request else {}
-        if answer.status in PROMISES:
+        if answer.status in NOT_RUN_STATUSES:
             headers["Retry-After"] = f"{self._retry_after(request, started, error.kind):.3f}"
         now = self.state.clock.now()
         directory = self.state.directory
-        self.state.figures.refusals.labels(error.kind.value).inc()
+        self.state.metrics.refusals.labels(error.kind.value).inc()
         log_event(
             Event.CALL_REFUSED,
             request=request.id if request else None,
@@ -63,8 +63,8 @@
         response = web.json_response(body, status=answer.status, headers=headers)
         if error.kind in (ErrorKind.BODY_TOO_LARGE, ErrorKind.BAD_REQUEST):
             response.force_close()
-        if error.kind in HERE_ALONE and self.state.refers_callers(now):
-            # On this connection the caller would come back to this process.
+        if error.kind in PROCESS_LOCAL_KINDS and self.state.refers_callers(now):
+            # On this connection, the caller would retry at this process.
             response.force_close()
         return response
 
@@ -73,5 +73,5 @@
         patience = None
         if request is not None and request.patience_s is not None:
             patience = request.patience_s - (now - started)
-        is_referred = kind in HERE_ALONE and self.state.refers_callers(now)
+        is_referred = kind in PROCESS_LOCAL_KINDS and self.state.refers_callers(now)
         return return_after_s(patience, is_referred, self.state.rng)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_relay.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_relay.py
@@ -1,4 +1,4 @@
-"""Takes one request through its sends to an answer."""
+"""Send a request to upstreams, with retries, until there is an answer."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 from .._call_error import CallError
 from .._events import Event, log_event
-from ._answers import AnswerTaker, broke
+from ._answers import AnswerHandler, record_broken
 from ._call import (
     Answered,
     Broke,
@@ -39,20 +39,20 @@
 from ._platform import SendTerms
 from ._state import ForwarderState
 
-MAX_UNREACHABLE = 4
-"""Upstreams without a connection after which a request is given up: with a connect timeout of
-0.4 s more would outlast the patience of most callers."""
+MAX_UNREACHABLE_UPSTREAMS = 4
+"""Number of unreachable upstreams after which a request fails: with a connect timeout of 0.4 s,
+more attempts would take longer than the patience of most callers."""
 
-PATIENCE_SHARE = 0.5
-"""Part of the remaining time that one upstream gets to answer a plain request which can still be
-sent to another, so that an upstream that hangs does not use up the time of both."""
+ATTEMPT_PATIENCE_SHARE = 0.5
+"""Share of the remaining time that one upstream has to answer a plain request which can still be
+retried at another, so that an upstream that hangs does not use up the time of both."""
 
-MIN_TURN_S = 0.25
-"""Least such time, seconds; about ten times the work of a plain request."""
+MIN_ATTEMPT_S = 0.25
+"""Lower limit of that time, seconds; about ten times the duration of a plain request."""
 
 
 class Relay:
-    """Runs calls: chooses upstreams, sends, passes answers on and repeats where that is safe.
+    """Runs calls: chooses upstreams, sends, passes answers on and retries where that is safe.
 
     Parameters
     ----------
@@ -61,7 +61,7 @@
 
     def __init__(self, state: ForwarderState):
         self.state = state
-        self._taker = AnswerTaker(state)
+        self._answer_handler = AnswerHandler(state)
 
     async def run(self, call: ForwardCall) -> web.StreamResponse:
         """Return the answer of a call.
@@ -69,37 +69,37 @@
         Raises
         ------
         CallError
-            If it ends without an answer of an upstream.
+            If it ends without an answer from an upstream.
         """
         self.state.budget(call.service).note_request(self.state.clock.now())
         while True:
-            outcome = await self._send_somewhere(call)
+            outcome = await self._choose_and_send(call)
             name = type(outcome).__name__
-            self.state.figures.sends.labels(call.service, name).inc()
+            self.state.metrics.sends.labels(call.service, name).inc()
             if isinstance(outcome, Answered):
                 return outcome.response
-            went_down = await self._note(call, outcome)
-            if went_down and self._can_go_on(call):
-                call.goes_on_at, call.backup = call.backup, None
+            went_down = await self._record_outcome(call, outcome)
+            if went_down and self._can_continue_from_copy(call):
+                call.continue_at, call.backup = call.backup, None
                 continue
-            if not self._may_repeat(call, outcome):
+            if not self._may_retry(call, outcome):
                 return self._give_up(call, outcome)
 
-    async def _send_somewhere(self, call: ForwardCall) -> Outcome:
-        """Choose an upstream, for a prompt when there is room, and send.
+    async def _choose_and_send(self, call: ForwardCall) -> Outcome:
+        """Choose an upstream, once one has capacity if the call has a prompt, and send.
 
         Raises
         ------
         CallError
-            If there is no upstream, or no room in time.
+            If there is no upstream, or none with capacity in time.
         """
         if not call.by_prompt:
             upstream = self._choose(call)
             if upstream is None:
                 raise CallError(failure_of(call))
             return await self._send(call, upstream)
-        if call.goes_on_at is not None:
-            return await self._send(call, call.goes_on_at)
+        if call.continue_at is not None:
+            return await self._send(call, call.continue_at)
         dispatcher = self.state.dispatcher(call.service)
         call.sent = await dispatcher.start(call)
         if call.sent is None:
@@ -111,7 +111,7 @@
 
     def _end_prompt(self, call: ForwardCall) -> None:
         if call.sent is not None:
-            self.state.dispatcher(call.service).ended(call.sent)
+            self.state.dispatcher(call.service).record_ended(call.sent)
             call.sent = None
 
     def _choose(self, call: ForwardCall) -> Upstream | None:
@@ -125,17 +125,17 @@
             state.switches,
         )
 
-    def _can_go_on(self, call: ForwardCall) -> bool:
-        """Return whether a run can go on from the copy of its memory at another upstream.
+    def _can_continue_from_copy(self, call: ForwardCall) -> bool:
+        """Return whether a run can continue from the copy of its memory at another upstream.
 
-        The upstream that ran it is down, so that it does not run twice; the copy holds what was
-        generated, so that no event is generated again.
+        Only called once the upstream that ran it is down, so that it does not run twice. The copy
+        holds what was generated, so that no event is generated again.
         """
         backup = call.backup
         return backup is not None and call.last_event is not None and backup.takes_work()
 
-    async def _note(self, call: ForwardCall, outcome: Outcome) -> bool:
-        """Remember what an outcome says of the upstream; return whether it is down."""
+    async def _record_outcome(self, call: ForwardCall, outcome: Outcome) -> bool:
+        """Record an outcome at its upstream; return whether the upstream is down."""
         now = self.state.clock.now()
         upstream = outcome.upstream
         log_event(
@@ -152,14 +152,14 @@
         if is_down:
             upstream.health.note_unreachable(now)
             self.state.losses(call.service).note(upstream.incarnation, now)
-            self.state.note_down(upstream.incarnation)
+            self.state.record_down(upstream.incarnation)
         return is_down
 
     async def _went_down(self, outcome: Outcome) -> bool:
-        """Return whether an upstream that broke off is down altogether.
+        """Return whether an upstream whose connection broke is down.
 
-        Its next requests would find out, each at the cost of a failed connection, and a request
-        that crashes upstreams would meanwhile be sent to the next.
+        Otherwise its next requests would find out, each at the cost of a failed connection, and a
+        request that crashes upstreams would meanwhile be sent to another one.
         """
         if not isinstance(outcome, Broke) or not outcome.crashed:
             return False
@@ -167,9 +167,9 @@
             return True
         return not await accepts_connections(outcome.upstream.entry)
 
-    def _may_repeat(self, call: ForwardCall, outcome: Outcome) -> bool:
+    def _may_retry(self, call: ForwardCall, outcome: Outcome) -> bool:
         if isinstance(outcome, NotSent):
-            return call.unreachable < MAX_UNREACHABLE
+            return call.unreachable < MAX_UNREACHABLE_UPSTREAMS
         if call.sends >= call.route.max_attempts:
             return False
         if isinstance(outcome, Broke) and not call.route.repeatable:
@@ -183,7 +183,7 @@
             return False
         if state.budget(call.service).try_repeat(now):
             return True
-        state.figures.repeats_denied.labels(call.service).inc()
+        state.metrics.repeats_denied.labels(call.service).inc()
         return False
 
     def _give_up(self, call: ForwardCall, outcome: Outcome) -> web.StreamResponse:
@@ -192,39 +192,39 @@
         raise CallError(failure_of(call))
 
     async def _send(self, call: ForwardCall, upstream: Upstream) -> Outcome:
-        """Send a call to one upstream and pass its answer on."""
+        """Send a call to one upstream and pass on its answer."""
         send = self._compose(call, upstream)
         self._log_send(call, upstream)
         call.tried.add(upstream.id)
         upstream.outstanding += 1
         response: aiohttp.ClientResponse | None = None
         try:
-            async with _until_ended(upstream):
-                async with asyncio.timeout(self._turn_s(call)):
+            async with _timeout_on_restart(upstream):
+                async with asyncio.timeout(self._attempt_limit_s(call)):
                     response = await self.state.connections.send(send)
                 call.sends += 1
-                return await self._taker.take(call, upstream, response)
+                return await self._answer_handler.handle(call, upstream, response)
         except NotSentError as error:
             call.unreachable += 1
             return NotSent(upstream, str(error))
         except BrokenError as error:
             call.sends += response is None
-            return broke(self.state, call, upstream, str(error))
+            return record_broken(self.state, call, upstream, str(error))
         except TimeoutError:
             if self._remaining(call) <= 0:
                 raise
             call.sends += response is None
             if upstream.ended:
-                return broke(self.state, call, upstream, "started again")
-            return broke(self.state, call, upstream, "silent", crashed=False)
+                return record_broken(self.state, call, upstream, "upstream restarted")
+            return record_broken(self.state, call, upstream, "silent", crashed=False)
         except asyncio.CancelledError:
-            # A deadline or a caller that left ends the call here; whether it ran is not known.
+            # The deadline passed or the caller disconnected; whether the call ran is unknown.
             call.maybe_run = True
             raise
         finally:
             upstream.outstanding -= 1
             if response is not None:
-                # Closes the connection unless the body was read to its end.
+                # Closes the connection unless the body was read completely.
                 response.close()
 
     def _log_send(self, call: ForwardCall, upstream: Upstream) -> None:
@@ -232,7 +232,7 @@
         placement = call.sent.placement if call.sent else None
         directory = self.state.directory
         if not call.sends:
-            self.state.figures.waited.labels(*call.class_labels).observe(now - call.started)
+            self.state.metrics.waited.labels(*call.class_labels).observe(now - call.started)
         log_event(
             Event.CALL_SENT,
             request=call.request.id,
@@ -241,9 +241,9 @@
             upstream=upstream.id,
             sends=call.sends,
             waited_s=now - call.started,
-            remaining_s=call.ends - now,
+            remaining_s=call.deadline - now,
             urgency=call.urgency,
-            sent_urgency=self._level(call),
+            sent_urgency=self._sent_urgency(call),
             running=upstream.running(now),
             predicted_s=placement.first_token_s if placement else None,
             backlog_s=placement.backlog_s if placement else None,
@@ -252,20 +252,20 @@
             source=placement.source.id if placement and placement.source else None,
             resume_after=call.last_event,
             backup=call.backup.id if call.backup else None,
-            goes_on=call.goes_on_at is upstream or None,
+            goes_on=call.continue_at is upstream or None,
             revision=directory.config.version if directory else None,
             config_age_s=self.state.lease.age(now),
         )
 
     def _remaining(self, call: ForwardCall) -> float:
-        return call.ends - self.state.clock.now()
+        return call.deadline - self.state.clock.now()
 
-    def _turn_s(self, call: ForwardCall) -> float | None:
-        """Return how long the upstream may take to begin its answer, None for no own limit."""
-        can_repeat = call.route.repeatable and call.sends + 1 < call.route.max_attempts
-        if not can_repeat or call.route.kind is RouteKind.STREAM:
+    def _attempt_limit_s(self, call: ForwardCall) -> float | None:
+        """Return how long the upstream may take to begin its answer; None without such a limit."""
+        can_retry = call.route.repeatable and call.sends + 1 < call.route.max_attempts
+        if not can_retry or call.route.kind is RouteKind.STREAM:
             return None
-        return max(MIN_TURN_S, self._remaining(call) * PATIENCE_SHARE)
+        return max(MIN_ATTEMPT_S, self._remaining(call) * ATTEMPT_PATIENCE_SHARE)
 
     def _choose_backup(self, call: ForwardCall, upstream: Upstream) -> None:
         state = self.state
@@ -285,12 +285,12 @@
             upstream.id,
             max(self._remaining(call), 0.001),
             call.organisation,
-            self._level(call),
+            self._sent_urgency(call),
             call.last_event or call.request.resume_after,
             call.weights_version,
             call.backup.address if call.backup else None,
-            upstream.address if call.goes_on_at is upstream else None,
-            _source_of(call),
+            upstream.address if call.continue_at is upstream else None,
+            _fetch_source(call),
         )
 
         def check() -> None:
@@ -307,13 +307,13 @@
             check,
         )
 
-    def _level(self, call: ForwardCall) -> int:
-        """Return the urgency that the upstream is told."""
+    def _sent_urgency(self, call: ForwardCall) -> int:
+        """Return the urgency that is sent to the upstream."""
         is_short = call.sent is not None and call.sent.placement.is_short
         return self.state.directory.urgency.level(call.rank, is_short)
 
     def check_key(self, call: ForwardCall) -> None:
-        """Refuse a send whose API key may have been withdrawn.
+        """Raise if the API key of a call may have been withdrawn.
 
         Raises
         ------
@@ -323,20 +323,20 @@
             return
         state = self.state
         if not state.keys_trusted(state.clock.now()):
-            raise CallError(_unsent(call, ErrorKind.CONFIGURATION_STALE))
+            raise CallError(_withheld_error(call, ErrorKind.CONFIGURATION_STALE))
         holder = state.directory.find_organisation(call.request.api_key or "")
         if holder is None or holder.name != call.organisation:
-            raise CallError(_unsent(call, ErrorKind.UNAUTHENTICATED))
+            raise CallError(_withheld_error(call, ErrorKind.UNAUTHENTICATED))
 
 
 @contextlib.asynccontextmanager
-async def _until_ended(upstream: Upstream) -> AsyncIterator[None]:
-    """Raise TimeoutError in the body once the upstream has started again."""
+async def _timeout_on_restart(upstream: Upstream) -> AsyncIterator[None]:
+    """Raise TimeoutError in the body once the upstream has restarted."""
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(None) as turn:
+    async with asyncio.timeout(None) as limit:
 
         def end() -> None:
-            turn.reschedule(loop.time())
+            limit.reschedule(loop.time())
 
         upstream.add_run(end)
         try:
@@ -345,12 +345,15 @@
             upstream.remove_run(end)
 
 
-def _source_of(call: ForwardCall) -> str | None:
-    """Return the address that prompt parts are fetched from, None if none are."""
+def _fetch_source(call: ForwardCall) -> str | None:
+    """Return the address from which prompt parts are fetched, None if none are."""
     source = call.sent.placement.source if call.sent else None
     return source.address if source else None
 
 
-def _unsent(call: ForwardCall, kind: ErrorKind) -> RequestError:
-    """Return the error of a send that was held back, or what an earlier send left unknown."""
+def _withheld_error(call: ForwardCall, kind: ErrorKind) -> RequestError:
+    """Return the error of a send that was withheld.
+
+    If an earlier send may have run, the error says that instead.
+    """
     return failure_of(call) if call.maybe_run else RequestError(kind)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
@@ -1,4 +1,4 @@
-"""What all requests of a forwarder share."""
+"""State of a forwarder that all its requests share."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 from ._settings import ForwarderSettings
 
 LEASE_SHARE = 0.72
-"""Part of the time allowed for the withdrawal of a key during which the last confirmed reading is
-good. The rest covers a send that is under way and readings of a store that lags by a second."""
+"""Share of the time allowed for the withdrawal of a key for which the last confirmed reading is
+valid. The rest covers a send in progress and readings of a store that lags by a second."""
 
-ASSUMED_PROCESSES = 10
-"""Least number of processes among which the repeats beyond the ratio are split: a process may not
-know the others yet."""
+MIN_ASSUMED_PROCESSES = 10
+"""Least number of processes among which the retries beyond the ratio are divided: a process may not
+have received the list of the others yet."""
 
-FIRST_READS = ("configuration", "upstreams")
-"""What a process reads from the platform before it can serve."""
+REQUIRED_READS = ("configuration", "upstreams")
+"""Readings from the platform that a process needs before it can serve."""
 
-FIRST_READS_S = 0.3
-"""Longest time that a request waits for these readings, seconds: ten times what they take while
-the platform answers. A request that waits longer is refused: its caller can go elsewhere."""
+REQUIRED_READS_TIMEOUT_S = 0.3
+"""Longest time that a request waits for these readings, seconds: ten times their duration while the
+platform answers. A request that waits longer is refused: its caller can use another process."""
 
 
 class ForwarderState:
@@ -74,39 +74,39 @@
         self.others = OtherProcesses()
         self.connections = UpstreamConnections()
         self.leaving = False
-        self.figures = Figures()
-        self.tell_crash: Callable[[str, list[str]], None] = lambda incarnation, digests: None
-        self._unread = set(FIRST_READS)
+        self.metrics = Figures()
+        self.broadcast_crash: Callable[[str, list[str]], None] = lambda incarnation, digests: None
+        self._unread = set(REQUIRED_READS)
         self._knows_all = asyncio.Event()
         self._dispatchers: dict[str, PromptDispatcher] = {}
         self._budgets: dict[str, RetryWindow] = {}
         self._losses: dict[str, LossRate] = {}
 
-    def note_read(self, what: str) -> None:
-        """Note that something was read from the platform for the first time or once more.
+    def record_read(self, what: str) -> None:
+        """Record that something was read from the platform, for the first time or again.
 
         Parameters
         ----------
         what : str
-            A member of ``FIRST_READS``.
+            A member of ``REQUIRED_READS``.
         """
         self._unread.discard(what)
         if not self._unread:
             self._knows_all.set()
 
-    async def wait_for_first_reads(self) -> None:
-        """Wait until the process knows what it needs to serve, a short time at most.
+    async def wait_for_required_reads(self) -> None:
+        """Wait a short time for the readings that the process needs to serve.
 
-        A process that has just started asks the platform and has its answers some 30 ms later.
-        Callers that wait in its queue would all be refused in that moment.
+        A process that has just started queries the platform and has the answers some 30 ms later.
+        Without this wait, it would refuse all callers that connected before.
         """
         if self._unread:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(FIRST_READS_S):
+                async with asyncio.timeout(REQUIRED_READS_TIMEOUT_S):
                     await self._knows_all.wait()
 
     def apply(self, config: ForwardConfig) -> bool:
-        """Take over a configuration unless a newer one is in force; return whether it is new."""
+        """Apply a configuration unless a newer one is in force; return whether it was applied."""
         if self.directory is not None and config.version <= self.directory.config.version:
             return False
         self.directory = ConfigDirectory(config)
@@ -115,10 +115,10 @@
         return True
 
     def confirm_configuration(self, as_of: float) -> None:
-        """Note that the platform showed the configuration that it showed last at a moment.
+        """Confirm the configuration in force, if the platform still showed it at a time.
 
-        That confirms what is in force unless a newer one is in force at any process: the platform
-        then shows an old one, and what the newer one withdraws must not be honoured.
+        Nothing is confirmed if a newer configuration is in force at any process: the platform then
+        shows an old one, and keys that the newer one withdraws must not be honoured.
         """
         if not self.standing.is_behind:
             self.lease.confirm(as_of)
@@ -132,38 +132,38 @@
                 self.book,
                 self.clock,
                 lambda: self.directory.targets(service),
-                self.figures.prediction.labels(service).observe,
+                self.metrics.prediction.labels(service).observe,
                 self.switches,
             )
             self._dispatchers[service] = found
         return found
 
     def refresh_gauges(self) -> None:
-        """Bring the gauges up to date; counters and histograms always are."""
+        """Update the gauges; counters and histograms are always up to date."""
         now = self.clock.now()
-        figures = self.figures
+        metrics = self.metrics
         age = self.lease.age(now)
-        figures.config_age.set(float("nan") if age is None else age)
-        figures.store_era.set(self.platform.exchange.era.newest)
-        figures.config_kept.set(self.standing.behind_s(now))
-        figures.keys_trusted.set(self.keys_trusted(now))
-        figures.revision.set(self.directory.config.version if self.directory else 0)
+        metrics.config_age.set(float("nan") if age is None else age)
+        metrics.store_era.set(self.platform.exchange.era.newest)
+        metrics.config_kept.set(self.standing.behind_s(now))
+        metrics.keys_trusted.set(self.keys_trusted(now))
+        metrics.revision.set(self.directory.config.version if self.directory else 0)
         for service, dispatcher in self._dispatchers.items():
-            figures.waiting.labels(service).set(len(dispatcher.queue))
+            metrics.waiting.labels(service).set(len(dispatcher.queue))
 
-    def look_at_waiting(self) -> None:
-        """Start what waits and may start now."""
+    def evaluate_waiting(self) -> None:
+        """Start the waiting calls that may start now."""
         for dispatcher in self._dispatchers.values():
-            dispatcher.look()
+            dispatcher.evaluate()
 
-    def note_down(self, incarnation: str) -> None:
-        """Note that an upstream is down, and tell the other processes what ran there."""
+    def record_down(self, incarnation: str) -> None:
+        """Record that an upstream is down, and send peers the digests of what ran there."""
         digests = self.suspects.note_down(incarnation, self.clock.now())
         if digests:
-            self.tell_crash(incarnation, digests)
+            self.broadcast_crash(incarnation, digests)
 
     def losses(self, service: str) -> LossRate:
-        """Return how often the upstreams of a service go down."""
+        """Return the rate at which the upstreams of a service go down."""
         return self._losses.setdefault(service, LossRate())
 
     def budget(self, service: str) -> RetryWindow:
@@ -173,7 +173,7 @@
         if found is None:
             found = RetryWindow(settings.retry_ratio, 0.0, settings.retry_window_s)
             self._budgets[service] = found
-        found.burst = settings.retry_burst / max(ASSUMED_PROCESSES, self.book.processes)
+        found.burst = settings.retry_burst / max(MIN_ASSUMED_PROCESSES, self.book.processes)
         return found
 
     def keys_trusted(self, now: float) -> bool:
@@ -185,7 +185,7 @@
         return self.lease.is_fresh(now)
 
     def refers_callers(self, now: float) -> bool:
-        """Return whether callers are better served by another process."""
+        """Return whether callers should be referred to another process."""
         if not self.switches.uses(Mechanism.REFERRAL):
             return False
         return not self.keys_trusted(now) and self.others.can_serve(now)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/forwarder.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""The forwarder: a process that passes callers' requests to upstreams as they are."""
+"""The forwarder: a process that passes callers' requests to upstreams unchanged."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     from ._peers import PeerMesh
 
 STOP_MARGIN_S = 0.8
-"""Time between the end of a planned stop and the moment at which the platform kills the process,
+"""Time between the end of a graceful shutdown and the time at which the platform kills the process,
 seconds: for the last answers to arrive and the process to close."""
 
 
@@ -39,11 +39,11 @@
     ----------
     settings : ForwarderSettings
     clock : Clock or None
-        None takes the clocks of the operating system, with suspended time counted.
+        None uses the clocks of the operating system, with suspended time counted.
     rng : random.Random or None
-        Placement and jitter; None seeds one from the operating system.
+        Used for placement and jitter; None seeds one from the operating system.
     early : EarlyListener or None
-        Socket that already listens for callers; None opens one at the start.
+        Socket that already listens for callers; None opens one in ``start``.
     """
 
     role = "forwarder"
@@ -72,11 +72,12 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new connections of callers are welcome.
+        """Whether the load balancer should send new connections of callers.
 
         A process without any configuration cannot serve. One whose configuration is old can still
-        serve callers without keys: were it to leave the balancer, the loss of the store would take
-        every process out at once. It leaves only while another process says that it can serve.
+        serve callers without keys: if it became unready, a failure of the store would make all
+        processes unready at once. It is unready only while another process reports that it can
+        serve.
         """
         state = self._state
         if state.directory is None or state.leaving:
@@ -84,7 +85,7 @@
         return not state.refers_callers(state.clock.now())
 
     async def start(self) -> None:
-        """Listen, and begin to follow configuration and upstreams.
+        """Listen, and start following the configuration and the upstreams.
 
         Raises
         ------
@@ -123,22 +124,23 @@
         log_event(Event.MECHANISMS_SET, off=",".join(settings.mechanisms_off))
 
     def _open_mesh(self) -> PeerMesh | None:
-        """Return the connections to the other forwarders, which begin to come up."""
+        """Start connecting to the other forwarders; None if the settings have no peer address."""
         settings = self.settings
         if settings.peer_listen is None:
             return None
-        # What speaks to peers is loaded once callers are served: it takes a tenth of the start.
+        # The modules for peers are imported after callers are served: the import takes a tenth of
+        # the startup time.
         from .._peer import Identity
         from ._peers import PeerMesh
 
         identity = Identity(settings.vm, settings.failure_domain, secrets.token_hex(8))
         mesh = PeerMesh(self._state, identity, settings.peer_listen)
-        self._state.tell_crash = mesh.tell_crash
+        self._state.broadcast_crash = mesh.broadcast_crash
         self._tasks.spawn(mesh.run())
         return mesh
 
     def reload(self, settings: ForwarderSettings) -> ForwarderSettings:
-        """Take over the settings that can change while the process runs; return those in force."""
+        """Apply the settings that can change while the process runs; return those in force."""
         off = settings.mechanisms_off
         self.settings = attrs.evolve(self.settings, mechanisms_off=off)
         self._state.switches.off = off
@@ -163,24 +165,24 @@
 
     def _expose(self) -> bytes:
         self._state.refresh_gauges()
-        self._state.figures.held.set(self._ingress.held)
-        self._state.figures.peers.set(self._mesh.connected if self._mesh else 0)
+        self._state.metrics.held.set(self._ingress.held)
+        self._state.metrics.peers.set(self._mesh.connected if self._mesh else 0)
         if self._mesh is not None and self._mesh.connected:
-            self._state.figures.loads_age.set(self._mesh.loads_age(self._state.clock.now()))
-        return self._state.figures.expose()
+            self._state.metrics.loads_age.set(self._mesh.loads_age(self._state.clock.now()))
+        return self._state.metrics.expose()
 
     async def stop(self, late_s: float = 0.0) -> None:
-        """Shut down gracefully: leave the balancer, finish what runs, then close.
+        """Shut down gracefully: become unready, finish the running requests, then close.
 
         Parameters
         ----------
         late_s : float
-            Time since the process was told to stop, seconds.
+            Time since the process received the signal to stop, seconds.
 
         Notes
         -----
-        The balancer goes on sending until it has asked twice. Connections refused meanwhile would
-        be requests lost by a planned stop.
+        The load balancer sends requests until it has checked readiness twice. Connections refused
+        meanwhile would be requests lost by a planned stop.
         """
         settings = self.settings
         log_event(Event.PROCESS_STOPPING, role=self.role, held=self._ingress.held)
@@ -200,16 +202,16 @@
         log_event(Event.PROCESS_STOPPED, role=self.role)
 
     async def abort(self) -> None:
-        """Stop at once; what runs is cut, and its callers are told so."""
+        """Stop at once; running requests are cancelled, and their callers receive an error."""
         self._state.leaving = True
         await self._ingress.answer_all()
         await self.close()
 
     async def close(self) -> None:
-        """Close all at once."""
+        """Close servers and connections."""
         await self._tasks.close()
-        # Each may wait for others that do not answer; one after the other they would take longer
-        # than the time that a stop leaves for them.
+        # Closed concurrently: each may wait for peers that do not answer, and one after the other
+        # they would take longer than the time that a stop leaves for them.
         closing = [self._ingress.close(), self._status.close()]
         if self._mesh is not None:
             closing.append(self._mesh.close())
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_dispatch.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Prompts that wait for an upstream."""
+"""Tests of the queue of prompts that wait for an upstream."""
 
 import asyncio
 
@@ -43,7 +43,7 @@
 
 
 class ShiftedClock(SystemClock):
-    """The clock of the system, moved on by hand, and stopped by hand."""
+    """The system clock, which a test can shift and stop."""
 
     def __init__(self):
         self.shift_s = 0.0
@@ -72,21 +72,21 @@
     return ForwardCall(None, request, ROUTE, "s", None, 1, b"", now, now + patience_s, 1)
 
 
-async def test_caller_that_leaves_at_the_moment_of_its_start_leaves_nothing_behind(
+async def test_cancellation_right_after_the_start_removes_the_prompt_from_the_upstream(
     dispatcher, upstream
 ):
-    """A caller closes its connection just as its request is started.
+    """A caller disconnects just as its request is started.
 
-    What was noted at the upstream would stay there, and the upstream would be avoided for ever.
+    Its prompt must not stay counted at the upstream, which would then be avoided for ever.
     """
-    # The pause between two looks follows from the time that the first one takes.
+    # The pause between two evaluations depends on the duration of the first one.
     dispatcher.clock.stop()
     upstream.pending.add("other", 50_000, dispatcher.clock.now())
     waiting = asyncio.create_task(dispatcher.start(make_call()))
     await asyncio.sleep(0)
     upstream.pending.remove("other")
     dispatcher.clock.shift_s += 0.01
-    dispatcher.look()
+    dispatcher.evaluate()
     assert upstream.pending.own_tokens == 6000
     waiting.cancel()
     with pytest.raises(asyncio.CancelledError):
@@ -95,7 +95,7 @@
     assert len(dispatcher.queue) == 0
 
 
-async def test_request_that_finds_no_room_in_time_is_refused_with_the_load(dispatcher, upstream):
+async def test_request_that_gets_no_capacity_in_time_is_refused_with_the_load(dispatcher, upstream):
     upstream.pending.add("other", 50_000, dispatcher.clock.now())
     with pytest.raises(CallError) as refused:
         await dispatcher.start(make_call(patience_s=0.2))
@@ -103,55 +103,56 @@
     assert "to read" in refused.value.error.detail
 
 
-async def test_service_without_upstreams_keeps_nobody_waiting(dispatcher, book):
+async def test_service_without_upstreams_returns_none_at_once(dispatcher, book):
     book.apply(UpstreamChanges(True), 1.0)
     assert await dispatcher.start(make_call()) is None
 
 
-async def test_looks_at_what_waits_leave_a_process_time_for_its_callers(
+async def test_evaluations_of_the_queue_use_a_limited_share_of_the_time(
     dispatcher, upstream, monkeypatch
 ):
-    """Twenty requests wait, and news of upstreams comes every millisecond.
+    """Twenty requests wait, and an update of the upstreams is received every millisecond.
 
-    With a look at each piece of news a slow process did nothing else, and engines went on working
-    for callers that had left seconds before.
+    When each update caused an evaluation, a slow process did nothing else, and engines continued to
+    run requests of callers that had disconnected seconds before.
     """
     upstream.pending.add("other", 50_000, dispatcher.clock.now())
     waiting = [asyncio.create_task(dispatcher.start(make_call())) for _ in range(20)]
     await asyncio.sleep(0)
-    look_s, looks = 0.02, []
+    evaluation_s, evaluations = 0.02, []
 
     def take_no_start(*details):
-        looks.append(details)
-        dispatcher.clock.shift_s += look_s
+        evaluations.append(details)
+        dispatcher.clock.shift_s += evaluation_s
         return iter(())
 
     monkeypatch.setattr(dispatcher.queue, "take_starts", take_no_start)
     began = dispatcher.clock.now()
     while dispatcher.clock.now() < began + 1.0:
         dispatcher.clock.shift_s += 0.001
-        dispatcher.look()
+        dispatcher.evaluate()
     for task in waiting:
         task.cancel()
     await asyncio.gather(*waiting, return_exceptions=True)
-    assert look_s <= len(looks) * look_s <= 1.0 / 3
+    assert evaluation_s <= len(evaluations) * evaluation_s <= 1.0 / 3
 
 
-async def test_news_in_the_pause_after_a_look_is_acted_on_at_its_end(dispatcher, upstream):
+async def test_update_in_the_pause_after_an_evaluation_is_applied_at_its_end(dispatcher, upstream):
     upstream.pending.add("other", 50_000, dispatcher.clock.now())
     waiting = asyncio.create_task(dispatcher.start(make_call()))
     await asyncio.sleep(0)
     upstream.pending.remove("other")
-    dispatcher.look()
+    dispatcher.evaluate()
     async with asyncio.timeout(5):
         sent = await waiting
     assert sent.placement.upstream is upstream
 
 
-def test_looks_are_planned_anew_on_the_loop_that_processes_run_on(dispatcher, upstream):
-    """Something changes while a later look is planned, on the event loop of the daemons.
+def test_evaluations_are_rescheduled_on_the_event_loop_of_the_daemons(dispatcher, upstream):
+    """A change occurs while a later evaluation is scheduled, on a uvloop event loop.
 
-    Its timers know less than those of the standard library; requests got an internal error.
+    Its timer handles have fewer methods than those of the standard library; requests failed with an
+    internal error.
     """
 
     async def wait_twice():
