--- a/packages/burdockquay-transport/src/burdockquay_transport/__init__.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/__init__.py
@@ -1,4 +1,4 @@
-"""Sockets: callers, upstreams, peers and the platform.
+"""Network connections to callers, upstreams, peers and the platform.
 
 The two roles are in :mod:`burdockquay_transport.entry` and :mod:`burdockquay_transport.slot`, so
 that a process loads only what its role needs.
--- a/packages/burdockquay-transport/src/burdockquay_transport/_addresses.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as the settings write them."""
+"""Addresses in the notation of the settings."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 def bound_address(bound: socket.socket) -> str:
-    """Return the address that a socket is bound to, as the settings write it."""
+    """Return the address that a socket is bound to, in the notation of the settings."""
     host, port = bound.getsockname()[:2]
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def bind_socket(host: str, port: int) -> socket.socket:
-    """Return a TCP socket that is bound and does not listen yet.
+    """Return a TCP socket that is bound but does not listen yet.
 
     Parameters
     ----------
     host : str
         IP address.
     port : int
-        0 for any that is free.
+        0 for any free port.
 
     Raises
     ------
--- a/packages/burdockquay-transport/src/burdockquay_transport/_answer_store.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_answer_store.py
@@ -1,4 +1,4 @@
-"""Answers of claimed requests as they are stored, and as callers get them again."""
+"""Conversion between the parts of an answer and its stored form."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AnswerCollector:
-    """Gathers the parts of an answer while they are passed on."""
+    """Collects the parts of an answer while they are forwarded."""
 
     def __init__(self):
         self._head = AnswerHead(200, [])
@@ -28,7 +28,7 @@
             self._end = part
 
     def answer(self) -> StoredAnswer:
-        """Return the whole answer."""
+        """Return the complete answer."""
         return StoredAnswer(
             self._head.status,
             self._head.headers,
--- a/packages/burdockquay-transport/src/burdockquay_transport/_background.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_background.py
@@ -1,4 +1,4 @@
-"""The tasks that run as long as a process does."""
+"""Tasks that run for the lifetime of a process."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BackgroundTasks:
-    """A set of tasks whose faults are logged and which end together."""
+    """Set of tasks whose exceptions are logged and which are cancelled together."""
 
     def __init__(self):
         self._tasks: set[asyncio.Task] = set()
@@ -18,17 +18,17 @@
         """Start a task."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._on_task_done)
         return task
 
     async def close(self) -> None:
-        """Cancel all tasks and wait for their end."""
+        """Cancel all tasks and wait until they have ended."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _note_end(self, task: asyncio.Task) -> None:
-        """Log a task that ended by an exception, which nobody would notice otherwise."""
+    def _on_task_done(self, task: asyncio.Task) -> None:
+        """Log the exception of a failed task, which would otherwise go unnoticed."""
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             where = task.get_coro().__qualname__
--- a/packages/burdockquay-transport/src/burdockquay_transport/_call.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_call.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through an entry."""
+"""State of one caller's request at an entry."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 @attrs.frozen
 class PeerLost:
-    """The connection to the slot that had the attempt broke."""
+    """The connection to the slot that had the attempt was lost."""
 
     vm: str
 
 
 @attrs.frozen
 class Refused:
-    """The entry itself refused the call while it waited."""
+    """The entry itself, and not a slot, refused the call."""
 
     error: RequestError
 
 
 class Inbox:
-    """Events for the one task that answers a caller."""
+    """Event queue of the task that answers a caller."""
 
     def __init__(self):
         self._events: deque[Any] = deque()
@@ -45,14 +45,14 @@
         self._arrived.set()
 
     async def get(self) -> Any:
-        """Return the next event, waiting for it if need be."""
+        """Return the next event, waiting for it if necessary."""
         while not self._events:
             self._arrived.clear()
             await self._arrived.wait()
         return self._events.popleft()
 
-    def get_if(self, kind: type) -> Any:
-        """Return the next event if it has come and is of a type, else None."""
+    def pop_if(self, kind: type) -> Any:
+        """Return the next event if there is one and it is of a type, else None."""
         if self._events and isinstance(self._events[0], kind):
             return self._events.popleft()
         return None
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class CallRequest:
-    """What the caller asked for, checked and routed.
+    """A caller's request, checked and routed.
 
     Parameters
     ----------
@@ -70,9 +70,9 @@
     route : RouteRecord
     service_class : ClassRecord
     method, path : str
-        As they go to the upstream.
+        As sent to the upstream.
     headers : list of list of str
-        Passed on to the upstream.
+        Forwarded to the upstream.
     body : bytes
     stream : bool
     deadline : float
@@ -82,9 +82,9 @@
     digest : str
         Digest of organisation, method, path and body.
     prefix : tuple of int
-        Hashes of the growing prefixes of the prompt.
+        Hashes of the prefixes of the prompt, in order of length.
     has_tokens : bool
-        Whether the answer consists of tokens, so that another upstream can continue it.
+        Whether the answer consists of tokens, which another upstream can continue.
     """
 
     request: str
@@ -110,33 +110,33 @@
 
 @attrs.define(eq=False)
 class Call:
-    """A request and how far it has come.
+    """A request and the state of its processing.
 
     Parameters
     ----------
-    asked : CallRequest
+    spec : CallRequest
     started_at : float
         When the caller's request was complete, seconds on the clock of the entry.
     ticket : OnceTicket
-        What the claim row of a non-idempotent request is judged by.
+        Values against which the claim row of a non-idempotent request is checked.
 
     Attributes
     ----------
     inbox : Inbox
-        What the slots say of the live attempt, and refusals of the entry.
+        Messages of the slots about the current attempt, and refusals of the entry.
     attempt : int
         Number of the latest attempt.
     link : SlotLink or None
-        Slot that has the live attempt.
+        Connection to the slot that has the current attempt.
     retries : int
-        Attempts that failed at some cost to the upstreams.
+        Retries after failures that cost the upstreams work.
     may_have_run : bool
-        Whether an earlier or the live attempt may have had an effect.
+        Whether an earlier or the current attempt may have had an effect.
     delivered : list of str
         Tokens of the answer so far.
     """
 
-    asked: CallRequest
+    spec: CallRequest
     started_at: float
     ticket: OnceTicket
     inbox: Inbox = attrs.field(factory=Inbox)
@@ -149,51 +149,51 @@
     retries: int = 0
     first_token_s: float = 0.0
     first_token_at: float = 0.0
-    token_at: float = 0.0
+    last_token_at: float = 0.0
     delivered: list[str] = attrs.field(factory=list)
     avoid: set[str] = attrs.field(factory=set)
 
     @property
     def attempt_key(self) -> tuple[str, int]:
-        """Request id and number of the live attempt."""
-        return (self.asked.request, self.attempt)
+        """Request id and number of the current attempt."""
+        return (self.spec.request, self.attempt)
 
     def begin_attempt(self, link: SlotLink, grant: int, now: float) -> Run:
-        """Make the next attempt the live one and return its message."""
+        """Begin the next attempt and return its message."""
         self.attempt += 1
         self.link = link
         self.next_sequence = 0
-        asked = self.asked
+        spec = self.spec
         return Run(
-            asked.request,
+            spec.request,
             self.attempt,
             grant,
-            asked.organisation.name,
-            asked.service_class.name,
-            asked.method,
-            asked.path,
-            asked.headers,
-            asked.body,
-            asked.stream,
-            max(0.0, asked.deadline - now),
-            asked.idempotent,
-            asked.key,
+            spec.organisation.name,
+            spec.service_class.name,
+            spec.method,
+            spec.path,
+            spec.headers,
+            spec.body,
+            spec.stream,
+            max(0.0, spec.deadline - now),
+            spec.idempotent,
+            spec.key,
             self.ticket.expected_version,
-            asked.digest,
+            spec.digest,
             list(self.delivered),
             self.apart,
             self.ticket.started_at,
         )
 
-    def fail(self, kind: ErrorKind, detail: str = "") -> CallError:
-        """Return the error that ends the call, with the truth about whether it ran."""
-        return self.fail_with(RequestError(kind, detail))
+    def make_error(self, kind: ErrorKind, detail: str = "") -> CallError:
+        """Return the error that ends the call; it reports whether the request may have run."""
+        return self.wrap_error(RequestError(kind, detail))
 
-    def fail_with(self, error: RequestError) -> CallError:
-        """Return an error that ends the call.
+    def wrap_error(self, error: RequestError) -> CallError:
+        """Return the exception for an error that ends the call.
 
-        An attempt that was sent and not certainly refused may have run, whatever the table says
-        of the kind of error: the caller must not be told otherwise.
+        An attempt that was sent and not certainly refused may have run. The error then reports
+        that this is unknown, even where its kind usually implies that the request did not run.
         """
         if self.may_have_run and error.run is None and error.answer.run is RunState.NOT_RUN:
             error = attrs.evolve(error, run=RunState.UNKNOWN)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_call_error.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_call_error.py
@@ -1,4 +1,4 @@
-"""How a call ends that has no whole answer of an upstream."""
+"""Exception for calls without a complete answer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CallError(Exception):
-    """A call ended without a whole answer; its caller gets the answer of the error's kind.
+    """A call ended without a complete answer; its caller gets the answer for the kind of error.
 
     Parameters
     ----------
--- a/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
@@ -1,4 +1,4 @@
-"""Takes one call through its attempts to a whole answer."""
+"""Runs the attempts of a call until it has a complete answer or fails."""
 
 from __future__ import annotations
 
@@ -54,15 +54,15 @@
 )
 
 SETTLE_TRIES = 4
-"""How often the claim row of a lost attempt is read while it may still end."""
+"""How often the claim row of an attempt is read while the attempt may still be running."""
 
 SETTLE_PAUSE_S = 0.25
-"""Time between these reads, seconds."""
+"""Time between two of these reads, seconds."""
 
 
 @attrs.frozen
 class Tokens:
-    """Tokens of an answer, as many as had arrived."""
+    """Tokens of an answer that arrived together."""
 
     texts: list[str]
 
@@ -78,7 +78,7 @@
 
 
 class CallRunner:
-    """Runs calls: waits for frames, retries where that is safe, and tells the truth at the end.
+    """Runs calls: reads their frames, retries where that is safe, and reports how they ended.
 
     Parameters
     ----------
@@ -117,24 +117,24 @@
         Raises
         ------
         CallError
-            If the call ends without a whole answer.
+            If the call ends without a complete answer.
         """
         self.budget.deposit(self.clock.now())
-        whole = False
+        complete = False
         try:
             self._check_quarantine(call)
             dispatcher.submit(call, self.clock.now())
-            while not whole:
+            while not complete:
                 event = await self._next_event(call)
                 for item in await self._handle(call, dispatcher, event):
-                    whole = whole or isinstance(item, AnswerEnd)
+                    complete = complete or isinstance(item, AnswerEnd)
                     yield item
         finally:
             dispatcher.abandon(call, self.clock.now())
-            self._account(call, whole)
+            self._record_usage(call, complete)
 
     async def _next_event(self, call: Call) -> Any:
-        remaining = call.asked.deadline - self.clock.now()
+        remaining = call.spec.deadline - self.clock.now()
         try:
             async with asyncio.timeout(remaining):
                 return await call.inbox.get()
@@ -145,21 +145,21 @@
         self, call: Call, dispatcher: GroupDispatcher, event: Any
     ) -> list[AnswerItem]:
         if isinstance(event, Frame):
-            return self._take_frames(call, dispatcher, event)
+            return self._consume_frames(call, dispatcher, event)
         if isinstance(event, Refused):
-            raise call.fail_with(event.error)
+            raise call.wrap_error(event.error)
         return await self._handlers[type(event)](call, dispatcher, event)
 
-    def _take_frames(
+    def _consume_frames(
         self, call: Call, dispatcher: GroupDispatcher, first: Frame
     ) -> list[AnswerItem]:
-        """Return what the frames that have arrived hold; tokens come in one piece."""
+        """Return the parts in the frames that have arrived; consecutive tokens are one item."""
         items: list[AnswerItem] = []
         texts: list[str] = []
         frame: Any = first
         while True:
-            if not self._in_order(call, frame):
-                call.link.give_up(call)
+            if not self._accept_sequence(call, frame):
+                call.link.cancel_attempt(call)
                 _drop_frames(call)
                 failed = Failed(
                     frame.request, frame.attempt, ErrorKind.PEER_LOST, "a frame is missing"
@@ -169,54 +169,56 @@
             if frame.part == PART_TOKEN:
                 texts.append(frame.data.decode(errors="replace"))
             else:
-                items += self._flush(call, dispatcher, texts)
+                items += self._flush_tokens(call, dispatcher, texts)
                 texts = []
-                items += self._take_part(call, frame)
-            frame = call.inbox.get_if(Frame)
+                items += self._handle_part(call, frame)
+            frame = call.inbox.pop_if(Frame)
             if frame is None:
                 break
-        return items + self._flush(call, dispatcher, texts)
+        return items + self._flush_tokens(call, dispatcher, texts)
 
-    def _in_order(self, call: Call, frame: Frame) -> bool:
+    def _accept_sequence(self, call: Call, frame: Frame) -> bool:
         if frame.attempt != call.attempt or frame.sequence != call.next_sequence:
             return False
         call.next_sequence += 1
         return True
 
-    def _flush(self, call: Call, dispatcher: GroupDispatcher, texts: list[str]) -> list[AnswerItem]:
+    def _flush_tokens(
+        self, call: Call, dispatcher: GroupDispatcher, texts: list[str]
+    ) -> list[AnswerItem]:
         if not texts:
             return []
         now = self.clock.now()
-        self._time_tokens(call, now)
+        self._record_token_times(call, now)
         call.delivered += texts
         dispatcher.charge(call, len(texts), now)
         return [Tokens(texts)]
 
-    def _time_tokens(self, call: Call, now: float) -> None:
-        asked = call.asked
-        name = asked.service_class.name
+    def _record_token_times(self, call: Call, now: float) -> None:
+        spec = call.spec
+        name = spec.service_class.name
         if not call.delivered:
             call.first_token_s = now - call.started_at
             call.first_token_at = now
             self.metrics.timing(timers.first_token(name), call.first_token_s)
         else:
-            self.metrics.timing(timers.between_tokens(name), now - call.token_at)
-        call.token_at = now
+            self.metrics.timing(timers.between_tokens(name), now - call.last_token_at)
+        call.last_token_at = now
 
-    def _take_part(self, call: Call, frame: Frame) -> list[AnswerItem]:
+    def _handle_part(self, call: Call, frame: Frame) -> list[AnswerItem]:
         if frame.part == PART_BODY:
             return [Body(frame.data)]
         if frame.part not in (PART_HEAD, PART_END):
-            raise call.fail(ErrorKind.INTERNAL, f"unknown part {frame.part}")
+            raise call.make_error(ErrorKind.INTERNAL, f"unknown part {frame.part}")
         cls = AnswerHead if frame.part == PART_HEAD else AnswerEnd
         decoded = decode_part(cls, frame.data)
         if isinstance(decoded, Err):
-            raise call.fail(ErrorKind.INTERNAL, decoded.err().detail)
+            raise call.make_error(ErrorKind.INTERNAL, decoded.err().detail)
         call.may_have_run = True
         if frame.part == PART_END:
-            call.link.end(call)
+            call.link.remove_attempt(call)
             return [decoded.ok()]
-        # A continued answer has a head of its own, which the caller has had already.
+        # A resumed answer has a head of its own, but the caller has already received one.
         if call.has_head:
             return []
         call.has_head = True
@@ -229,7 +231,7 @@
         error = RequestError(event.kind, event.detail)
         if event.kind is ErrorKind.CLAIM_LOST:
             return await self._settle(call, dispatcher, error, claim_lost=True)
-        dispatcher.refused(call, event.kind, now)
+        dispatcher.record_refusal(call, event.kind, now)
         self._retry_or_fail(call, dispatcher, error, certainly_not_run=True)
         return []
 
@@ -241,7 +243,7 @@
         call.avoid.add(call.link.vm)
         dispatcher.health.observe_failure(call.link.vm, self.clock.now())
         error = RequestError(event.kind, event.detail)
-        if not call.asked.idempotent:
+        if not call.spec.idempotent:
             return await self._settle(call, dispatcher, error)
         self._retry_or_fail(call, dispatcher, error)
         return []
@@ -249,7 +251,9 @@
     async def _on_peer_lost(
         self, call: Call, dispatcher: GroupDispatcher, event: PeerLost
     ) -> list[AnswerItem]:
-        failed = Failed(*call.attempt_key, ErrorKind.PEER_LOST, f"lost {event.vm}")
+        failed = Failed(
+            *call.attempt_key, ErrorKind.PEER_LOST, f"lost the connection to {event.vm}"
+        )
         return await self._on_failed(call, dispatcher, failed)
 
     def _retry_or_fail(
@@ -259,35 +263,35 @@
         error: RequestError,
         certainly_not_run: bool = False,
     ) -> None:
-        """Bring a call to another slot, or end it."""
-        repeatable = certainly_not_run or call.asked.idempotent
-        # Tokens can be continued wherever they broke off, also before the first one; a body cannot.
-        can_resume = call.asked.has_tokens or not call.has_head
+        """Submit a call again, or end it."""
+        repeatable = certainly_not_run or call.spec.idempotent
+        # A token stream can be resumed at any point, also before the first token; a body cannot.
+        can_resume = call.spec.has_tokens or not call.has_head
         decision = should_retry(error.kind, repeatable, call.retries + 1, can_resume)
         if not decision.retry:
-            raise call.fail_with(error)
+            raise call.wrap_error(error)
         now = self.clock.now()
         if decision.needs_budget:
-            self._withdraw_retry(call, error, now)
+            self._withdraw_from_budget(call, error, now)
         self._check_quarantine(call)
         self.metrics.count(retry_counter(error.kind))
-        log_event(Event.REQUEST_RETRIED, request=call.asked.request, kind=error.kind.value)
+        log_event(Event.REQUEST_RETRIED, request=call.spec.request, kind=error.kind.value)
         call.link = None
         dispatcher.submit(call, now)
 
-    def _withdraw_retry(self, call: Call, error: RequestError, now: float) -> None:
-        # Refusals that cost the upstreams nothing are not counted: a call that met four full slots
-        # could not be tried again after a crash.
+    def _withdraw_from_budget(self, call: Call, error: RequestError, now: float) -> None:
+        # Refusals that cost the upstreams nothing are not counted: otherwise a call that was
+        # refused by four full slots could not be retried after a crash.
         call.retries += 1
         if not self.budget.withdraw(now):
             log_event(Event.RETRY_BUDGET_EMPTY)
             self.metrics.count("retries.budget_empty")
-            raise call.fail_with(error)
+            raise call.wrap_error(error)
 
     def _check_quarantine(self, call: Call) -> None:
-        verdict = self.quarantine.verdict(call.asked.digest, self.clock.wall())
+        verdict = self.quarantine.verdict(call.spec.digest, self.clock.wall())
         if verdict is Verdict.QUARANTINED:
-            raise call.fail(ErrorKind.QUARANTINED, f"digest {call.asked.digest}")
+            raise call.make_error(ErrorKind.QUARANTINED, f"digest {call.spec.digest}")
         call.apart = verdict is Verdict.SUSPECT
 
     async def _settle(
@@ -297,15 +301,15 @@
         error: RequestError,
         claim_lost: bool = False,
     ) -> list[AnswerItem]:
-        """Find out from the claim row what became of an attempt, and act on it."""
+        """Read the outcome of an attempt from its claim row, and continue accordingly."""
         for remaining in reversed(range(SETTLE_TRIES)):
             settled = await self.resolver.settle(call.ticket, self.clock.wall, claim_lost)
             if settled.state is not SettledState.IN_PROGRESS or not remaining:
                 break
             await asyncio.sleep(SETTLE_PAUSE_S)
-        return self._act_on(call, dispatcher, settled, error)
+        return self._apply_settled(call, dispatcher, settled, error)
 
-    def _act_on(
+    def _apply_settled(
         self, call: Call, dispatcher: GroupDispatcher, settled: Settled, error: RequestError
     ) -> list[AnswerItem]:
         if settled.state is SettledState.STORED and not call.has_head:
@@ -318,55 +322,55 @@
         raise CallError(_settled_error(settled))
 
     async def _deadline_passed(self, call: Call) -> CallError:
-        if call.link is None or call.asked.idempotent:
+        if call.link is None or call.spec.idempotent:
             call.may_have_run = call.may_have_run or call.link is not None
-            return call.fail(ErrorKind.DEADLINE_EXCEEDED)
+            return call.make_error(ErrorKind.DEADLINE_EXCEEDED)
         settled = await self.resolver.settle(call.ticket, self.clock.wall)
         if settled.state is SettledState.NOT_RUN:
             return CallError(RequestError(ErrorKind.DEADLINE_EXCEEDED, run=RunState.NOT_RUN))
         return CallError(RequestError(ErrorKind.OUTCOME_UNKNOWN, "the deadline has passed"))
 
-    def _account(self, call: Call, whole: bool) -> None:
-        asked = call.asked
-        names = (asked.organisation.name, asked.service_class.name)
-        if whole:
-            self.quarantine.note_finished(asked.digest, self.clock.wall())
+    def _record_usage(self, call: Call, complete: bool) -> None:
+        spec = call.spec
+        names = (spec.organisation.name, spec.service_class.name)
+        if complete:
+            self.quarantine.note_finished(spec.digest, self.clock.wall())
             self.ledger.add_generated(*names, len(call.delivered))
         else:
             self.ledger.add_wasted(*names, len(call.delivered))
-        name = asked.service_class.name
-        in_time = whole and self._first_in_time(call)
+        name = spec.service_class.name
+        in_time = complete and self._first_token_in_time(call)
         self.ledger.add_attainment(name, in_time, LatencyTarget.FIRST_TOKEN)
         if len(call.delivered) > 1:
-            met = whole and self._pace_in_time(call)
+            met = complete and self._between_tokens_in_time(call)
             self.ledger.add_attainment(name, met, LatencyTarget.BETWEEN_TOKENS)
-        self.metrics.count(TOKENS if whole else TOKENS_WASTED, len(call.delivered))
+        self.metrics.count(TOKENS if complete else TOKENS_WASTED, len(call.delivered))
         self.metrics.count(class_counter(name, "in_time" if in_time else "late"))
         self.metrics.timing(timers.whole(name), self.clock.now() - call.started_at)
 
-    def _first_in_time(self, call: Call) -> bool:
+    def _first_token_in_time(self, call: Call) -> bool:
         took_s = call.first_token_s if call.delivered else self.clock.now() - call.started_at
-        return took_s <= call.asked.service_class.first_token_target_s
+        return took_s <= call.spec.service_class.first_token_target_s
 
-    def _pace_in_time(self, call: Call) -> bool:
-        mean_s = (call.token_at - call.first_token_at) / (len(call.delivered) - 1)
-        return mean_s <= call.asked.service_class.between_tokens_target_s
+    def _between_tokens_in_time(self, call: Call) -> bool:
+        mean_s = (call.last_token_at - call.first_token_at) / (len(call.delivered) - 1)
+        return mean_s <= call.spec.service_class.between_tokens_target_s
 
 
 def _drop_frames(call: Call) -> None:
-    """Drop the frames of an attempt that was given up.
+    """Drop the frames of an attempt that was cancelled.
 
-    Each of them would be out of order too and count as a further failure: the first one would be
-    repeated, the second one would end the call although the repeat goes on behind what it has.
+    Each of them would be out of order too and count as another failure: the first would cause a
+    retry, and the second would end the call although the retry resumes the answer.
     """
-    while call.inbox.get_if(Frame) is not None:
+    while call.inbox.pop_if(Frame) is not None:
         continue
 
 
 def _settled_error(settled: Settled) -> RequestError:
-    """Return what a caller hears of a settled state that brings it no answer."""
+    """Return the error for a settled state without an answer for the caller."""
     if settled.state is SettledState.STORED:
-        detail = "the answer broke off; repeat the key to get it whole"
+        detail = "the answer was interrupted; repeat the request with its key to get all of it"
         return RequestError(ErrorKind.OUTCOME_UNKNOWN, detail, RunState.RAN)
     return RequestError(SETTLED_KINDS[settled.state], settled.detail)
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
@@ -1,4 +1,4 @@
-"""The HTTP that callers speak to an entry."""
+"""HTTP server of an entry for callers."""
 
 from __future__ import annotations
 
@@ -47,20 +47,20 @@
 BODY_TIMEOUT_S = 20.0
 """Longest time a caller may take to send its body, seconds."""
 
-ANSWER_S = 1.0
-"""Longest wait until the answers of a process that ends are written, seconds."""
+ANSWER_TIMEOUT_S = 1.0
+"""Longest wait until the last answers of a closing process are written, seconds."""
 
-CLOSE_S = 0.3
-"""Longest wait for connections that close with the process, seconds; their answers are out."""
+CLOSE_TIMEOUT_S = 0.3
+"""Longest wait for connections to close with the process, seconds; their answers are written."""
 
 _PASSED_HEADERS = ("Content-Type", "Accept")
-"""Headers of a request that the upstream gets."""
+"""Request headers that are forwarded to the upstream."""
 
 _REQUEST_ID: web.RequestKey[str] = web.RequestKey("request_id", str)
 
 
 class CallerServer:
-    """Serves callers.
+    """HTTP server for callers.
 
     Parameters
     ----------
@@ -69,13 +69,13 @@
 
     def __init__(self, entry: Entry):
         self.entry = entry
-        self._handling: set[asyncio.Task] = set()
-        self._cutting = False
+        self._request_tasks: set[asyncio.Task] = set()
+        self._aborting = False
 
     @property
     def held(self) -> int:
-        """Requests of callers that are not answered yet."""
-        return len(self._handling)
+        """Number of callers' requests that are not answered yet."""
+        return len(self._request_tasks)
 
     @property
     def port(self) -> int:
@@ -83,7 +83,7 @@
         return self._runner.addresses[0][1]
 
     async def start(self, host: str, port: int) -> None:
-        """Listen.
+        """Bind the socket and start serving.
 
         Raises
         ------
@@ -92,49 +92,49 @@
         """
         app = web.Application(
             client_max_size=self.entry.settings.max_body_bytes,
-            middlewares=[self._name_and_answer_errors],
+            middlewares=[self._assign_id_and_map_errors],
         )
         add_status_routes(app, lambda: self.entry.ready, self.entry.describe)
         app.router.add_get("/usage", self._usage)
         app.router.add_get("/v1/models", self._models)
         app.router.add_post("/v1/chat/completions", self._chat)
         app.router.add_route("*", "/services/{service}/{path:.*}", self._service)
-        # handler_cancellation: a caller that leaves must end its request, or an engine would
-        # go on generating tokens that nobody reads.
+        # handler_cancellation: a disconnect of the caller must end its request, or an engine would
+        # continue to generate tokens that nobody reads.
         self._runner = web.AppRunner(
-            app, access_log=None, handler_cancellation=True, shutdown_timeout=CLOSE_S
+            app, access_log=None, handler_cancellation=True, shutdown_timeout=CLOSE_TIMEOUT_S
         )
         await self._runner.setup()
         self._listening = bind_socket(host, port)
         await web.SockSite(self._runner, self._listening, backlog=BACKLOG).start()
 
     async def finish_all(self) -> None:
-        """Wait until every caller has its answer."""
-        while self._handling:
-            await asyncio.wait(set(self._handling))
-
-    async def cut_all(self) -> None:
-        """End what still runs; each caller is told that its answer broke off."""
-        self._cutting = True
-        tasks = set(self._handling)
+        """Wait until every request is answered."""
+        while self._request_tasks:
+            await asyncio.wait(set(self._request_tasks))
+
+    async def abort_all(self) -> None:
+        """Cancel all requests; each caller gets an error, or an error event in its stream."""
+        self._aborting = True
+        tasks = set(self._request_tasks)
         for task in tasks:
             task.cancel()
         if tasks:
-            await asyncio.wait(tasks, timeout=ANSWER_S)
+            await asyncio.wait(tasks, timeout=ANSWER_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Refuse what still waits, then stop listening."""
-        self._cutting = True
+        """Refuse pending connections and requests, then stop listening."""
+        self._aborting = True
         await accept_waiting(self._listening)
-        if self._handling:
-            await asyncio.wait(set(self._handling), timeout=ANSWER_S)
+        if self._request_tasks:
+            await asyncio.wait(set(self._request_tasks), timeout=ANSWER_TIMEOUT_S)
         await self._runner.cleanup()
 
     @web.middleware
-    async def _name_and_answer_errors(
+    async def _assign_id_and_map_errors(
         self, request: web.Request, handler: Callable
     ) -> web.StreamResponse:
-        """Give the request its id, and turn every error into the answer of its kind."""
+        """Assign the request id, and turn every error into its HTTP answer."""
         request[_REQUEST_ID] = secrets.token_hex(16)
         try:
             response = await handler(request)
@@ -157,12 +157,12 @@
             response.headers[REQUEST_HEADER] = request[_REQUEST_ID]
         return response
 
-    def _note_refusal(self, error: RequestError) -> None:
+    def _record_refusal(self, error: RequestError) -> None:
         self.entry.metrics.count(refusal_counter(error.kind))
         log_event(Event.REQUEST_REFUSED, kind=error.kind, run=error.answer.run)
 
     def _error_response(self, error: RequestError) -> web.Response:
-        self._note_refusal(error)
+        self._record_refusal(error)
         answer = error.answer
         headers = {}
         if answer.retry_after_s is not None:
@@ -184,7 +184,7 @@
         return web.json_response({"object": "list", "data": models})
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
-        with _Handling(self) as handling:
+        with _RequestScope(self) as scope:
             organisation = self._check_caller(request)
             self.entry.metrics.count(REQUESTS)
             body = await _read_body(request)
@@ -194,13 +194,13 @@
             chat = parsed.ok()
             route = self._find_route(request, organisation, chat.model)
             self._check_model(route, chat.model)
-            asked = self._make_request(request, organisation, route, request.path, body, chat)
+            spec = self._make_request(request, organisation, route, request.path, body, chat)
             if chat.stream:
-                return await self._stream_chat(request, handling.begin_call(asked), chat)
-            return await self._answer_chat(handling.begin_call(asked), chat)
+                return await self._stream_chat(request, scope.make_call(spec), chat)
+            return await self._answer_chat(scope.make_call(spec), chat)
 
     async def _service(self, request: web.Request) -> web.StreamResponse:
-        with _Handling(self) as handling:
+        with _RequestScope(self) as scope:
             organisation = self._check_caller(request)
             self.entry.metrics.count(REQUESTS)
             body = await _read_body(request)
@@ -208,11 +208,11 @@
             path = "/" + request.match_info["path"]
             if request.query_string:
                 path += "?" + request.query_string
-            asked = self._make_request(request, organisation, route, path, body, None)
-            return await self._answer_service(handling.begin_call(asked))
+            spec = self._make_request(request, organisation, route, path, body, None)
+            return await self._answer_service(scope.make_call(spec))
 
     def _check_caller(self, request: web.Request) -> OrganisationRecord:
-        if self.entry.refusing or self._cutting:
+        if self.entry.refusing or self._aborting:
             raise CallError(RequestError(ErrorKind.LEAVING))
         if not self.entry.snapshot.revision:
             raise CallError(RequestError(ErrorKind.NOT_READY))
@@ -223,10 +223,10 @@
         if scheme.lower() != "bearer" or not api_key:
             detail = "expected the header Authorization: Bearer <API key>"
             raise CallError(RequestError(ErrorKind.UNAUTHENTICATED, detail))
-        known = authenticate(self.entry.snapshot, api_key.strip())
-        if isinstance(known, Err):
-            raise CallError(known.err())
-        return known.ok()
+        authenticated = authenticate(self.entry.snapshot, api_key.strip())
+        if isinstance(authenticated, Err):
+            raise CallError(authenticated.err())
+        return authenticated.ok()
 
     def _find_route(
         self, request: web.Request, organisation: OrganisationRecord, model: str
@@ -293,13 +293,13 @@
         return seconds
 
     def _answer(self, call: Call):
-        """Admit a call and return the iterator over its answer."""
+        """Admit a call and return the async iterator over its answer."""
         entry = self.entry
-        asked = call.asked
-        dispatcher = entry.dispatcher(asked.route.group)
+        spec = call.spec
+        dispatcher = entry.dispatcher(spec.route.group)
         if dispatcher is None:
             raise CallError(RequestError(ErrorKind.NO_UPSTREAM))
-        names = (asked.organisation.name, asked.service_class.name)
+        names = (spec.organisation.name, spec.service_class.name)
         admitted = entry.admission.admit(*names, dispatcher.queue, entry.now())
         if isinstance(admitted, Err):
             entry.ledger.add_refusal(*names, admitted.err().kind)
@@ -308,7 +308,7 @@
 
     async def _run_admitted(self, call: Call, dispatcher: Any):
         entry = self.entry
-        names = (call.asked.organisation.name, call.asked.service_class.name)
+        names = (call.spec.organisation.name, call.spec.service_class.name)
         try:
             async with aclosing(entry.runner.run(call, dispatcher)) as items:
                 async for item in items:
@@ -320,8 +320,8 @@
             entry.admission.finished(*names, entry.now())
 
     async def _answer_chat(self, call: Call, chat: ChatRequest) -> web.Response:
-        asked = call.asked
-        writer = ChunkWriter(asked.request, chat.model, int(self.entry.wall()))
+        spec = call.spec
+        writer = ChunkWriter(spec.request, chat.model, int(self.entry.wall()))
         texts: list[str] = []
         end: AnswerEnd | None = None
         async with aclosing(self._answer(call)) as items:
@@ -330,19 +330,19 @@
                     texts += item.texts
                 elif isinstance(item, AnswerEnd):
                     end = item
-        body = writer.whole(texts, end.finish_reason, end.prompt_tokens)
-        return web.json_response(body, headers=_key_headers(asked))
+        body = writer.full_body(texts, end.finish_reason, end.prompt_tokens)
+        return web.json_response(body, headers=_key_headers(spec))
 
     async def _stream_chat(
         self, request: web.Request, call: Call, chat: ChatRequest
     ) -> web.StreamResponse:
-        asked = call.asked
-        writer = ChunkWriter(asked.request, chat.model, int(self.entry.wall()))
+        spec = call.spec
+        writer = ChunkWriter(spec.request, chat.model, int(self.entry.wall()))
         headers = {
             "Content-Type": "text/event-stream",
             "Cache-Control": "no-cache",
-            REQUEST_HEADER: asked.request,
-            **_key_headers(asked),
+            REQUEST_HEADER: spec.request,
+            **_key_headers(spec),
         }
         response = web.StreamResponse(headers=headers)
         generated = 0
@@ -360,27 +360,27 @@
         except CallError as error:
             if not response.prepared:
                 raise
-            await self._break_off(request, response, writer, error.error)
+            await self._abort_stream(request, response, writer, error.error)
         except asyncio.CancelledError:
-            if not (response.prepared and self._cutting):
+            if not (response.prepared and self._aborting):
                 raise
             asyncio.current_task().uncancel()
-            await self._break_off(request, response, writer, _CUT)
+            await self._abort_stream(request, response, writer, _STREAM_ABORTED)
         return response
 
-    async def _break_off(
+    async def _abort_stream(
         self,
         request: web.Request,
         response: web.StreamResponse,
         writer: ChunkWriter,
         error: RequestError,
     ) -> None:
-        """End a stream that has begun: an error event, and no proper end of the body.
+        """End a stream that has begun with an error event and without the terminating chunk.
 
-        A body that ended properly would look like a whole answer to a client that reads only the
-        text.
+        A properly terminated body would look like a complete answer to a client that reads only
+        the text.
         """
-        self._note_refusal(error)
+        self._record_refusal(error)
         await response.write(writer.error(error_body(error)))
         request.transport.close()
 
@@ -393,53 +393,55 @@
                     head = item
                 elif isinstance(item, Body):
                     pieces.append(item.data)
-        headers = dict(head.headers) | _key_headers(call.asked)
+        headers = dict(head.headers) | _key_headers(call.spec)
         return web.Response(status=head.status, body=b"".join(pieces), headers=headers)
 
 
-_CUT = RequestError(ErrorKind.LEAVING, "the answer broke off", run=RunState.UNKNOWN)
+_STREAM_ABORTED = RequestError(
+    ErrorKind.LEAVING, "the answer was interrupted", run=RunState.UNKNOWN
+)
 
 
-class _Handling:
-    """Notes the task of a caller's request while it is served.
+class _RequestScope:
+    """Context manager that registers the task of a caller's request while it is served.
 
-    Where the process ends first, the caller is told whether the request may have run: it cannot
-    tell from a connection that closes.
+    If the process closes first, the caller gets an error that reports whether the request may have
+    run, which a closed connection would not show.
     """
 
     def __init__(self, server: CallerServer):
         self.server = server
         self.call: Call | None = None
 
-    def begin_call(self, asked: CallRequest) -> Call:
-        """Return the call that a request stands for."""
+    def make_call(self, spec: CallRequest) -> Call:
+        """Return the call for a request."""
         entry = self.server.entry
         ticket = entry.runner.resolver.open_ticket(
-            asked.organisation.name, asked.key, asked.digest, entry.wall()
+            spec.organisation.name, spec.key, spec.digest, entry.wall()
         )
-        self.call = Call(asked, entry.now(), ticket)
+        self.call = Call(spec, entry.now(), ticket)
         return self.call
 
-    def __enter__(self) -> _Handling:
+    def __enter__(self) -> _RequestScope:
         self.task = asyncio.current_task()
-        self.server._handling.add(self.task)
+        self.server._request_tasks.add(self.task)
         return self
 
     def __exit__(self, kind: type | None, error: BaseException | None, trace: Any) -> None:
-        self.server._handling.discard(self.task)
-        if kind is asyncio.CancelledError and self.server._cutting:
+        self.server._request_tasks.discard(self.task)
+        if kind is asyncio.CancelledError and self.server._aborting:
             self.task.uncancel()
-            raise CallError(self._cut_error())
+            raise CallError(self._abort_error())
 
-    def _cut_error(self) -> RequestError:
+    def _abort_error(self) -> RequestError:
         call = self.call
         if call is None or not (call.may_have_run or call.link is not None):
             return RequestError(ErrorKind.LEAVING)
-        return RequestError(ErrorKind.OUTCOME_UNKNOWN, "the process has ended")
+        return RequestError(ErrorKind.OUTCOME_UNKNOWN, "the process has stopped")
 
 
 def digest_request(organisation: str, method: str, path: str, body: bytes) -> str:
-    """Return 32 hexadecimal digits that tell a request from others of its organisation.
+    """Return 32 hexadecimal digits that identify the content of an organisation's request.
 
     Examples
     --------
@@ -453,7 +455,7 @@
 
 
 def error_body(error: RequestError) -> dict[str, Any]:
-    """Return the JSON body that tells a caller of an error."""
+    """Return the JSON body of an error answer."""
     answer = error.answer
     message = f"{answer.text} {error.detail}".strip()
     return {
@@ -467,8 +469,8 @@
     }
 
 
-def _key_headers(asked: CallRequest) -> dict[str, str]:
-    return {KEY_HEADER: asked.key} if asked.key else {}
+def _key_headers(spec: CallRequest) -> dict[str, str]:
+    return {KEY_HEADER: spec.key} if spec.key else {}
 
 
 def _read_key(request: web.Request, route: RouteRecord) -> str:
@@ -489,5 +491,5 @@
         async with asyncio.timeout(BODY_TIMEOUT_S):
             return await request.read()
     except TimeoutError:
-        detail = f"expected the whole body within {BODY_TIMEOUT_S:g} s"
+        detail = f"expected the complete body within {BODY_TIMEOUT_S:g} s"
         raise CallError(RequestError(ErrorKind.BAD_REQUEST, detail)) from None
--- a/packages/burdockquay-transport/src/burdockquay_transport/_chat.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_chat.py
@@ -1,4 +1,4 @@
-"""The callers' side of OpenAI-style chat completions: parsing, streams and whole answers."""
+"""OpenAI-style chat completions for callers: request parsing, streams and plain answers."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @attrs.frozen
 class ChatRequest:
-    """What the entry reads of a chat request; the body goes on unchanged.
+    """Fields of a chat request that the entry uses; the body is forwarded unchanged.
 
     Parameters
     ----------
     model : str
     stream : bool
     prompt : str
-        The texts of all messages, for prefix affinity.
+        Texts of all messages, for prefix affinity.
     """
 
     model: str
@@ -32,7 +32,7 @@
 
 
 def parse_chat(body: bytes) -> Result[ChatRequest, RequestError]:
-    """Return what the entry needs of a chat request, or what is wrong with it.
+    """Return the fields of a chat request that the entry uses, or the error in it.
 
     Examples
     --------
@@ -40,16 +40,16 @@
     'messages: expected a list with at least one message, got []'
     """
     if not body:
-        return _bad("expected a JSON object as body, got an empty body")
+        return _bad_request("expected a JSON object as body, got an empty body")
     try:
         request = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return _bad(f"expected JSON as body: {error}")
+        return _bad_request(f"expected JSON as body: {error}")
     if not isinstance(request, dict):
-        return _bad(f"expected a JSON object as body, got {type(request).__name__}")
+        return _bad_request(f"expected a JSON object as body, got {type(request).__name__}")
     faults = _find_faults(request)
     if faults:
-        return _bad("; ".join(faults))
+        return _bad_request("; ".join(faults))
     prompt = "\n".join(_text_of(message) for message in request["messages"])
     return Ok(ChatRequest(request["model"], request.get("stream", False), prompt))
 
@@ -82,7 +82,7 @@
     return content if isinstance(content, str) else json.dumps(content)
 
 
-def _bad(detail: str) -> Err[RequestError]:
+def _bad_request(detail: str) -> Err[RequestError]:
     return Err(RequestError(ErrorKind.BAD_REQUEST, detail))
 
 
@@ -110,8 +110,8 @@
                 "model": model,
             }
         )
-        # A stream has thousands of chunks that differ only in their text, so all else is
-        # encoded once.
+        # A stream has thousands of chunks that differ only in their text, so the rest is encoded
+        # once.
         self._before = (
             f'data: {head[:-1]}, "choices": [{{"index": 0, "delta": {{"content": '.encode()
         )
@@ -124,17 +124,17 @@
         return b"".join(before + json.dumps(text).encode() + after for text in texts)
 
     def end(self, finish_reason: str, prompt_tokens: int, generated: int) -> bytes:
-        """Return the last chunk and the mark that the answer is whole."""
+        """Return the last chunk and the ``[DONE]`` event, which marks a complete answer."""
         choice = {"index": 0, "delta": {}, "finish_reason": finish_reason}
         usage = _usage(prompt_tokens, generated)
         tail = json.dumps({"choices": [choice], "usage": usage})
         return f"data: {self._head[:-1]}, {tail[1:]}\n\n".encode() + DONE_EVENT
 
     def error(self, body: dict[str, Any]) -> bytes:
-        """Return the event of an answer that broke off."""
+        """Return the error event of an interrupted answer."""
         return f"data: {json.dumps(body)}\n\n".encode()
 
-    def whole(self, texts: list[str], finish_reason: str, prompt_tokens: int) -> dict[str, Any]:
+    def full_body(self, texts: list[str], finish_reason: str, prompt_tokens: int) -> dict[str, Any]:
         """Return the body of a plain answer."""
         message = {"role": "assistant", "content": "".join(texts)}
         return {
--- a/packages/burdockquay-transport/src/burdockquay_transport/_claim_expiry.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_claim_expiry.py
@@ -1,4 +1,4 @@
-"""Expiry of claim rows, done by one slot at a time."""
+"""Expiry of claim rows, run by one slot at a time."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 SWEEP_LEASE = "claim-sweep"
 SWEEP_LEASE_S = 60.0
-"""Duration of the lease of the slot that sweeps, seconds."""
+"""Duration of the lease of the sweeping slot, seconds."""
 
 SWEEP_INTERVAL_S = 600.0
-"""Mean time between two tries of one slot to sweep, seconds."""
+"""Mean time between two sweep attempts of one slot, seconds."""
 
 PAGE_PAUSE_S = 0.2
-"""Pause between two pages, which bounds a sweep to five reads and five writes a second."""
+"""Pause between two pages, seconds; bounds a sweep to five reads and five writes a second."""
 
-DELETIONS_AT_ONCE = 500
+DELETIONS_PER_BATCH = 500
 
 
 class ClaimExpiry:
-    """Sweeps the claim rows when this slot gets the lease to do so.
+    """Deletes expired claim rows while this slot holds the sweep lease.
 
     Parameters
     ----------
@@ -42,10 +42,10 @@
     holder : str
         Incarnation of the slot.
     retention_s : float
-        How long the outcome of a key is kept, seconds.
+        Retention time of the outcome of a key, seconds.
     clock : Clock
     rng : random.Random
-        Jitter, so that the slots of a large deployment do not ask for the lease together.
+        Jitter, so that the slots of a large deployment do not request the lease simultaneously.
     """
 
     def __init__(
@@ -57,33 +57,33 @@
         self.clock = clock
         self.rng = rng
         self._leases = LeaseStore(platform.table)
-        committer = GroupCommitter(platform.table, max_operations=DELETIONS_AT_ONCE)
+        committer = GroupCommitter(platform.table, max_operations=DELETIONS_PER_BATCH)
         self._sweep = ClaimSweep(platform.table, committer, retention_s)
 
     async def run(self) -> None:
-        """Sweep now and then, until cancelled."""
+        """Sweep at random intervals until cancelled; run as a task."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S * self.rng.uniform(0.5, 1.5))
             await self.sweep()
 
     async def sweep(self) -> int:
-        """Go through all rows once if the lease is free; return how many were deleted."""
-        taken = await self._leases.acquire(
+        """Sweep all rows once if the lease is free; return the number of deleted rows."""
+        acquired = await self._leases.acquire(
             SWEEP_LEASE, self.holder, SWEEP_LEASE_S, self.clock.now()
         )
-        if taken.is_err():
+        if acquired.is_err():
             return 0
-        known = await self._list_vms()
-        return 0 if known.is_err() else await self._sweep_all(taken.ok(), known.ok())
+        may_act = await self._find_live_vms()
+        return 0 if may_act.is_err() else await self._sweep_all(acquired.ok(), may_act.ok())
 
-    async def _list_vms(self) -> Result[Callable[[str], bool], TableError]:
-        """Return whether the process of an incarnation may still act, as a function.
+    async def _find_live_vms(self) -> Result[Callable[[str], bool], TableError]:
+        """Return a predicate: whether the process of an incarnation may still act on a claim.
 
         Notes
         -----
-        A VM that has left the list never comes back under its name, so a request that its slot
-        had claimed cannot start any more. An empty list says that the list is broken, not that
-        every VM is gone.
+        The name of a VM that has left the list is never reused, so a request that its slot had
+        claimed cannot start any more. An empty list is treated as a fault of the list, not as the
+        removal of every VM.
         """
         listed = await self.platform.vms.list()
         if listed.is_err():
@@ -111,5 +111,5 @@
 
 
 def claim_incarnation(vm: str, incarnation: str) -> str:
-    """Return how claims name a slot: its VM, by which :class:`ClaimExpiry` judges, and process."""
+    """Return a slot's name in claims: its VM, which :class:`ClaimExpiry` checks, and process."""
     return f"{vm}/{incarnation}"
--- a/packages/burdockquay-transport/src/burdockquay_transport/_clock.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_clock.py
@@ -1,4 +1,4 @@
-"""The clocks of a process; decisions get their readings as an argument."""
+"""Clocks of a process; decision code receives the time as an argument."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 """Time between two ticks while there is work, seconds."""
 
 IDLE_TICK_S = 0.1
-"""Time between two ticks while there is none, seconds."""
+"""Time between two ticks while there is no work, seconds."""
 
 IDLE_AFTER_S = 1.0
-"""Time without work after which the ticks become rarer, seconds."""
+"""Time without work after which the longer interval applies, seconds."""
 
 
 class Clock(ABC):
-    """A monotonic clock and the time of day."""
+    """Monotonic clock and time of day."""
 
     @abstractmethod
     def now(self) -> float:
-        """Return seconds since an arbitrary moment; never goes back."""
+        """Return seconds since an arbitrary moment; never decreases."""
 
     @abstractmethod
     def wall(self) -> float:
@@ -30,10 +30,10 @@
 
 
 class SystemClock(Clock):
-    """The clocks of the operating system."""
+    """Clocks of the operating system."""
 
     def now(self) -> float:
-        """Return seconds since an arbitrary moment; never goes back."""
+        """Return seconds since an arbitrary moment; never decreases."""
         return time.monotonic()
 
     def wall(self) -> float:
@@ -42,33 +42,33 @@
 
 
 class SuspendedClock(SystemClock):
-    """The clocks of the operating system, with the time that the VM was suspended counted.
+    """Clocks of the operating system, where the monotonic clock includes suspended time.
 
     Notes
     -----
-    The monotonic clock stands still while a VM is suspended. A woken process would take old news
-    for fresh and honour API keys that were withdrawn meanwhile.
+    The usual monotonic clock stops while a VM is suspended. After resuming, a process would treat
+    outdated updates as recent and accept API keys that were withdrawn meanwhile.
     """
 
     def now(self) -> float:
-        """Return seconds since an arbitrary moment; never goes back."""
+        """Return seconds since an arbitrary moment; never decreases."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 async def ticks(clock: Clock, is_busy: Callable[[], bool]) -> AsyncIterator[float]:
-    """Yield the time again and again, until cancelled.
+    """Yield the time at regular intervals, until cancelled.
 
     Parameters
     ----------
     clock : Clock
     is_busy : callable
-        Returns whether anything waits for a moment in time.
+        Returns whether anything waits for a point in time.
 
     Notes
     -----
     Fifty wake-ups a second alone cost an idle process most of a hundredth of a core, which is all
-    that a node may spend on control. Work that arrives in an idle process finds the first tick up
-    to ``IDLE_TICK_S`` away; what must happen at once does not wait for a tick.
+    that a node may spend on control. For work that arrives at an idle process the first tick may
+    be up to ``IDLE_TICK_S`` away; what must happen immediately does not wait for a tick.
     """
     busy_at = clock.now()
     while True:
--- a/packages/burdockquay-transport/src/burdockquay_transport/_config_sync.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_config_sync.py
@@ -23,7 +23,7 @@
 
 
 class ConfigurationSync:
-    """Reads the head of the record log now and then, and exchanges revisions with peers.
+    """Polls the head of the record log, and exchanges revisions with peers.
 
     Parameters
     ----------
@@ -31,18 +31,18 @@
     log : RecordLog
     clock : Clock
     rng : random.Random
-        Spreads the reads of all processes.
+        Jitter, which spreads the reads of all processes.
     poll_interval_s, read_budget : float
-        See :class:`EntrySettings`.
+        Settings ``poll_interval_s`` and ``table_read_budget``; see :class:`EntrySettings`.
     count_processes : callable
-        Returns how many processes share the budget.
+        Returns how many processes share the read budget.
     on_change : callable
-        Called without arguments after a new revision is in force.
+        Called without arguments after a new revision was applied.
 
     Notes
     -----
-    The table is read by few processes; the others learn of a new revision from the heartbeats of
-    their peers and fetch the missing log from them. See docs/design/configuration.md.
+    Few processes read the table; the others receive a new revision number in the heartbeats of
+    their peers and fetch the missing log entries from them. See docs/design/configuration.md.
     """
 
     def __init__(
@@ -79,47 +79,47 @@
             await asyncio.sleep(delay)
 
     async def read_table(self) -> None:
-        """Read the head revision once, and the log behind ours if it is higher."""
+        """Read the head revision once, and the newer part of the log if there is one."""
         before = self.holder.revision
         outcome = await self._reader.read(self.clock.wall())
-        self._note_table(not isinstance(outcome, Err))
+        self._record_table_health(not isinstance(outcome, Err))
         if isinstance(outcome, Ok):
-            await self._note_era()
+            await self._check_era()
         if isinstance(outcome, Ok):
-            self._tell(outcome.ok(), before)
+            self._report_applied(outcome.ok(), before)
 
     def add_peer(self, peer: PeerConnection) -> None:
-        """Exchange revisions with a connected peer."""
+        """Start exchanging revisions with a connected peer."""
         self._peers.add(peer)
         peer.post(self.heartbeat())
 
     def remove_peer(self, peer: PeerConnection) -> None:
-        """Forget a peer."""
+        """Stop exchanging revisions with a peer."""
         self._peers.discard(peer)
 
     def heartbeat(self) -> Heartbeat:
-        """Return the message that tells our revision."""
+        """Return a heartbeat with the revision of this process."""
         return Heartbeat(self.holder.revision)
 
-    def peer_has(self, peer: PeerConnection, revision: int) -> None:
-        """Note the revision of a peer, and fetch what we lack."""
+    def fetch_if_behind(self, peer: PeerConnection, revision: int) -> None:
+        """Request the newer part of the log from a peer that has a higher revision."""
         if self.holder.should_fetch(revision, self.clock.now()):
             peer.post(FetchLog(self.holder.revision))
 
     def answer_fetch(self, peer: PeerConnection, message: FetchLog) -> None:
-        """Send a peer the log it lacks."""
+        """Send a peer the part of the log that it lacks."""
         if self.holder.revision > message.after_revision:
             peer.post(self.holder.log_after(message.after_revision))
 
     def receive_part(self, peer: PeerConnection, part: LogPart) -> None:
-        """Put what a peer sent in force."""
+        """Apply a part of the log that a peer sent."""
         before = self.holder.revision
-        self._tell(self.holder.apply(part, self.clock.wall()), before)
+        self._report_applied(self.holder.apply(part, self.clock.wall()), before)
         if part.entries:
-            self.peer_has(peer, part.head)
+            self.fetch_if_behind(peer, part.head)
 
-    def _tell(self, outcome: ApplyOutcome, before: int) -> None:
-        """Log what a part of the log brought, and tell the peers if it changed anything."""
+    def _report_applied(self, outcome: ApplyOutcome, before: int) -> None:
+        """Log the result of applying log entries, and send the peers a new revision."""
         for fault in outcome.faults:
             is_unknown = fault.key == "schema"
             event = Event.RECORD_SCHEMA_UNKNOWN if is_unknown else Event.RECORD_FAULT
@@ -133,8 +133,8 @@
         for peer in self._peers:
             peer.post(self.heartbeat())
 
-    async def _note_era(self) -> None:
-        """Tell the operators, once for each era, if the log has lost what is in force here."""
+    async def _check_era(self) -> None:
+        """Log, once for each era, if the record log has lost changes that are in force here."""
         era = self.log.table.era
         if era == self._era:
             return
@@ -150,7 +150,7 @@
             )
         self._era = era
 
-    def _note_table(self, healthy: bool) -> None:
+    def _record_table_health(self, healthy: bool) -> None:
         if healthy == self.table_healthy:
             return
         self.table_healthy = healthy
--- a/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Brings the waiting calls of one upstream group to its slots."""
+"""Dispatches the waiting calls of one upstream group to its slots."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from burdockquay_protocol import ErrorKind, Grant, RequestError, ReturnGrant
 from burdockquay_state import ClassRecord, Snapshot
 
-from . import _engine_client, _service_client  # noqa: F401 (they register the kinds of upstream)
+from . import _engine_client, _service_client  # noqa: F401 (they register upstream clients)
 from ._call import Call, Refused
 from ._clock import Clock
 from ._events import Event, log_event
@@ -34,38 +34,38 @@
 """Size of a demand message on the wire, bytes."""
 
 DEMAND_BYTES_PER_S = 2000.0
-"""Traffic that demand messages to all slots together may cause, bytes a second."""
+"""Limit on the traffic of demand messages to all slots together, bytes per second."""
 
 PAUSING_KINDS = frozenset({"engine"})
 """Kinds of upstream that can pause a request.
 
-An entry does not load the clients of the upstreams, so that it cannot ask them.
+An entry cannot read this from the upstream clients, since it does not depend on them.
 """
 
 PREFIX_BLOCKS_PER_VM = 2048
-"""Prompt blocks remembered of what was sent to one slot."""
+"""Prompt blocks kept in the prefix index for each slot."""
 
 
 class GroupDispatcher:
-    """The queue of one upstream group at an entry, and the choice of slots.
+    """Queue of one upstream group at an entry, and the choice of slots for its calls.
 
     Parameters
     ----------
     group : str
     snapshot : Snapshot
     failure_domain : str
-        Of the entry.
+        Failure domain of the entry.
     clock : Clock
     rng : random.Random
     admission : AdmissionController
-        Told how long calls waited.
+        Receives the waiting times of calls.
     is_usable : callable
-        Says of the name of a VM whether the membership lets it have new work.
+        Maps the name of a VM to whether the membership allows new work for it.
 
     Notes
     -----
-    With the binding ``"grant"`` a call waits here, in one sorted queue, until a slot has a place
-    for its class; with ``"slot_queue"`` it is sent at once and waits there. See
+    With the binding ``"grant"`` a call waits here, in one sorted queue, until a slot has capacity
+    for its class; with ``"slot_queue"`` it is sent at once and waits at the slot. See
     docs/design/queues.md for the comparison.
     """
 
@@ -95,22 +95,22 @@
         self._queue = self._make_queue()
         self._placement = placement_policies.get(snapshot.policy.placement)()
         self._ejected: frozenset[str] = frozenset()
-        self._served_at = clock.now()
+        self._last_usable_at = clock.now()
         self._demand_changed = False
-        self._demand_told_at = 0.0
+        self._demand_sent_at = 0.0
 
     @property
     def queue(self) -> QueuePolicy:
-        """The waiting calls."""
+        """Queue of the waiting calls."""
         return self._queue
 
     @property
     def ready(self) -> bool:
-        """Whether any slot takes work."""
+        """Whether any slot accepts work."""
         return any(link.takes_work for link in self.links.values())
 
     def configure(self, snapshot: Snapshot, now: float) -> None:
-        """Take over a new configuration; waiting calls keep their order of arrival."""
+        """Apply a new configuration; waiting calls keep their order of arrival."""
         policy = snapshot.policy
         changed_queue = policy.queue != self._queue_name
         self.snapshot = snapshot
@@ -120,19 +120,19 @@
             self._queue.set_classes(snapshot.classes, self._weights(), now)
             return
         self._queue_name = policy.queue
-        older = self._queue
+        old_queue = self._queue
         self._queue = self._make_queue()
-        while waiting := older.pop(now):
+        while waiting := old_queue.pop(now):
             self._queue.push(waiting, now)
 
     def forget(self, vm: str) -> None:
-        """Forget a slot that is no longer connected to."""
+        """Drop the state of a slot that this entry no longer connects to."""
         self.links.pop(vm, None)
         self.health.forget(vm)
         self.prefixes.forget(vm)
 
     def submit(self, call: Call, now: float) -> None:
-        """Bring a call to a slot now, or let it wait."""
+        """Send a call to a slot now, or queue it."""
         if self.snapshot.policy.binding == "slot_queue":
             link = self._choose(call, self._usable_links(now), now)
             if link is None:
@@ -140,30 +140,30 @@
             else:
                 self._start(call, link, 0, now)
             return
-        if not self._anyone_before(call):
+        if not self._has_waiting_ahead(call):
             link = self._choose(call, self._free_links(call, now), now)
             if link is not None:
                 self._start(call, link, 0, now)
                 return
-        self._wait(call, now)
+        self._enqueue(call, now)
 
-    def refused(self, call: Call, kind: ErrorKind, now: float) -> None:
-        """Note that the slot of a call's last attempt refused it without running it."""
+    def record_refusal(self, call: Call, kind: ErrorKind, now: float) -> None:
+        """Record that the slot of a call's last attempt refused it without running it."""
         link = call.link
         if link is None:
             return
         if kind is ErrorKind.NO_PLACE:
-            link.full_for.add(call.asked.service_class.name)
+            link.full_classes.add(call.spec.service_class.name)
         else:
             call.avoid.add(link.vm)
 
-    def take_grant(self, link: SlotLink, grant: Grant, now: float) -> None:
-        """Use a promised place for the best waiting call of its class, or give it back."""
-        told = link.told_demand
-        if grant.class_name in told:
-            told[grant.class_name] -= 1
-        wanted = link in self._usable_links(now)
-        call = self._next_call(link, grant.class_name, now) if wanted else None
+    def use_grant(self, link: SlotLink, grant: Grant, now: float) -> None:
+        """Start the best waiting call of the granted class, or return the grant."""
+        sent = link.sent_demand
+        if grant.class_name in sent:
+            sent[grant.class_name] -= 1
+        usable = link in self._usable_links(now)
+        call = self._next_call(link, grant.class_name, now) if usable else None
         if call is None:
             link.post(ReturnGrant(grant.grant))
         else:
@@ -171,28 +171,28 @@
         self._demand_changed = True
 
     def abandon(self, call: Call, now: float) -> None:
-        """Forget a call: it waits no more, and its live attempt is cancelled."""
-        if self._calls.pop(call.asked.request, None) is not None:
-            self._queue.remove(call.asked.request, now)
+        """Remove a call from the queue and cancel its current attempt."""
+        if self._calls.pop(call.spec.request, None) is not None:
+            self._queue.remove(call.spec.request, now)
             self._demand_changed = True
         if call.link is not None:
-            call.link.give_up(call)
+            call.link.cancel_attempt(call)
 
     def charge(self, call: Call, tokens: int, now: float) -> None:
         """Charge generated tokens to the call's class and organisation."""
-        asked = call.asked
-        self._queue.charge(asked.service_class.name, asked.organisation.name, tokens, now)
-        self.admission.charge(asked.organisation.name, tokens, now)
+        spec = call.spec
+        self._queue.charge(spec.service_class.name, spec.organisation.name, tokens, now)
+        self.admission.charge(spec.organisation.name, tokens, now)
 
     def observe_status(self, link: SlotLink, now: float) -> None:
-        """Take in the pace that a slot reports, and send it what may be waiting."""
+        """Record the time per token that a slot reports, and schedule a demand message."""
         if link.status.step_s:
             self.health.observe_step(link.vm, link.status.step_s, now)
         if len(self._queue):
             self._demand_changed = True
 
     def tick(self, now: float) -> None:
-        """Refuse calls that waited too long, and tell the slots what waits."""
+        """Refuse calls that waited too long, and send the demand to the slots."""
         for waiting in self._queue.expire(now):
             call = self._calls.pop(waiting.request, None)
             if call is not None:
@@ -200,22 +200,22 @@
                 kind = ErrorKind.DEADLINE_EXCEEDED if late else ErrorKind.PATIENCE_EXCEEDED
                 call.inbox.put(Refused(RequestError(kind)))
                 self._demand_changed = True
-        self._give_up_begun(now)
-        self._note_ejections(now)
-        self._tell_demand(now)
+        self._fail_unserved_answers(now)
+        self._log_ejections(now)
+        self._send_demand(now)
 
-    def _give_up_begun(self, now: float) -> None:
-        """Refuse answers that broke off, once nobody has been there to go on with them for long.
+    def _fail_unserved_answers(self, now: float) -> None:
+        """Refuse interrupted answers when no slot has been usable for longer than their patience.
 
-        Their patience does not end by itself, since they have begun. Without this their callers
-        would wait for their deadlines while every upstream of the group is down.
+        The queue applies no patience to a call whose answer has begun. Without this check its
+        caller would wait until the deadline while every upstream of the group is down.
         """
         if self._usable_links(now):
-            self._served_at = now
+            self._last_usable_at = now
             return
-        unserved_s = now - self._served_at
+        unserved_s = now - self._last_usable_at
         for call in list(self._calls.values()):
-            if call.delivered and unserved_s > call.asked.service_class.patience_s:
+            if call.delivered and unserved_s > call.spec.service_class.patience_s:
                 self.abandon(call, now)
                 call.inbox.put(Refused(RequestError(ErrorKind.NO_UPSTREAM)))
 
@@ -225,67 +225,67 @@
     def _weights(self) -> dict[str, float]:
         return {name: item.weight for name, item in self.snapshot.organisations.items()}
 
-    def _wait(self, call: Call, now: float) -> None:
-        asked = call.asked
-        self._calls[asked.request] = call
+    def _enqueue(self, call: Call, now: float) -> None:
+        spec = call.spec
+        self._calls[spec.request] = call
         self._queue.push(
             Waiting(
-                asked.request,
-                asked.organisation.name,
-                asked.service_class.name,
+                spec.request,
+                spec.organisation.name,
+                spec.service_class.name,
                 call.started_at,
-                asked.deadline,
+                spec.deadline,
                 begun=bool(call.delivered),
             ),
             now,
         )
         self._demand_changed = True
-        self._tell_demand(now)
+        self._send_demand(now)
 
     def _next_call(self, link: SlotLink, class_name: str, now: float) -> Call | None:
-        """Take the best waiting call of a class that this slot may have.
+        """Remove the best waiting call of a class that may run at this slot, and return it.
 
-        A call that failed at a slot goes to another while one serves: what was wrong there would
-        most likely be met again.
+        A call that failed at a slot is not sent there again while another slot is usable, since it
+        would most likely fail there again.
         """
-        passed_over = []
+        skipped = []
         found = None
         while found is None and (waiting := self._queue.pop(now, class_name)) is not None:
             call = self._calls[waiting.request]
-            if link.vm in call.avoid and self._serves_elsewhere(call, now):
-                passed_over.append(waiting)
+            if link.vm in call.avoid and self._has_alternative(call, now):
+                skipped.append(waiting)
             else:
                 found = self._calls.pop(waiting.request)
-        for waiting in passed_over:
+        for waiting in skipped:
             self._queue.push(waiting, now)
         return found
 
-    def _serves_elsewhere(self, call: Call, now: float) -> bool:
+    def _has_alternative(self, call: Call, now: float) -> bool:
         return any(link.vm not in call.avoid for link in self._usable_links(now))
 
     def _start(self, call: Call, link: SlotLink, grant: int, now: float) -> None:
         if call.attempt == 0:
-            self.admission.started(call.asked.service_class.name, now - call.started_at, now)
-        self.prefixes.note(link.vm, call.asked.prefix, now)
+            self.admission.started(call.spec.service_class.name, now - call.started_at, now)
+        self.prefixes.note(link.vm, call.spec.prefix, now)
         link.start(call, grant, now)
 
-    def _anyone_before(self, call: Call) -> bool:
-        own = call.asked.service_class
+    def _has_waiting_ahead(self, call: Call) -> bool:
+        service_class = call.spec.service_class
         classes = self.snapshot.classes
         return any(
-            name not in classes or classes[name].priority >= own.priority
+            name not in classes or classes[name].priority >= service_class.priority
             for name in (item.class_name for item in self._queue.demand(self.clock.now()))
         )
 
     def _usable_links(self, now: float) -> list[SlotLink]:
-        """Return the slots that may get work; ejected ones only if there are no others."""
+        """Return the slots that may receive work; ejected ones only if there are no others."""
         usable = [
             link for link in self.links.values() if link.takes_work and self.is_usable(link.vm)
         ]
         ejected = self.health.ejected(now)
         return [link for link in usable if link.vm not in ejected] or usable
 
-    def _note_ejections(self, now: float) -> None:
+    def _log_ejections(self, now: float) -> None:
         ejected = self.health.ejected(now)
         for vm in sorted(ejected - self._ejected):
             log_event(Event.STRAGGLER_EJECTED, vm=vm, group=self.group)
@@ -295,26 +295,28 @@
         self._ejected = ejected
 
     def _free_links(self, call: Call, now: float) -> list[SlotLink]:
-        own = call.asked.service_class
-        links = [link for link in self._usable_links(now) if own.name not in link.full_for]
-        if own.protected:
-            # The slot may pause lower work for it, which only the slot can see.
+        service_class = call.spec.service_class
+        links = [
+            link for link in self._usable_links(now) if service_class.name not in link.full_classes
+        ]
+        if service_class.protected:
+            # The slot may pause work of lower priority for it; only the slot can decide that.
             return links
-        kept = 0
-        if self.snapshot.policy.reserve and not self._can_move(own):
-            kept = sum(
+        reserved = 0
+        if self.snapshot.policy.reserve and not self._is_preemptible(service_class):
+            reserved = sum(
                 item.reserved_places
                 for item in self._classes.values()
-                if item.priority > own.priority
+                if item.priority > service_class.priority
             )
         return [
             link
             for link in links
             if link.estimate_load()
-            < link.status.places - max(0, kept - link.status.protected_running)
+            < link.status.places - max(0, reserved - link.status.protected_running)
         ]
 
-    def _can_move(self, record: ClassRecord) -> bool:
+    def _is_preemptible(self, record: ClassRecord) -> bool:
         """Return whether the slots may pause requests of a class to make room."""
         group = self.snapshot.groups.get(self.group)
         pauses = group is not None and group.upstream_kind in PAUSING_KINDS
@@ -323,44 +325,44 @@
     def _choose(self, call: Call, links: list[SlotLink], now: float) -> SlotLink | None:
         if not links:
             return None
-        asked = call.asked
+        spec = call.spec
         candidates: list[Candidate] = [
             link.describe_candidate(
                 self.health.weight(link.vm, now),
-                self.prefixes.overlap(link.vm, asked.prefix),
+                self.prefixes.overlap(link.vm, spec.prefix),
                 now,
             )
             for link in links
         ]
         request = PlacementRequest(
-            asked.service_class.name,
-            asked.service_class.protected,
+            spec.service_class.name,
+            spec.service_class.protected,
             self.failure_domain,
-            len(asked.prefix),
+            len(spec.prefix),
             frozenset(call.avoid),
         )
         chosen = self._placement.choose(candidates, request, now, self.rng)
         return None if chosen is None else self.links[chosen.vm]
 
-    def _tell_demand(self, now: float) -> None:
+    def _send_demand(self, now: float) -> None:
         if not self._demand_changed:
             return
         demands = self._queue.demand(now)
         interval = max(DEMAND_INTERVAL_S, DEMAND_BYTES * len(self.links) / DEMAND_BYTES_PER_S)
-        if now - self._demand_told_at >= interval:
-            self._demand_told_at = now
+        if now - self._demand_sent_at >= interval:
+            self._demand_sent_at = now
             self._demand_changed = False
             targets = [link for link in self.links.values() if link.connected]
         else:
-            # A slot that believes that nothing waits would let a place stand empty.
+            # A slot that was last sent no demand for a class would leave capacity unused.
             targets = [
                 link
                 for link in self.links.values()
                 if link.connected
-                and any(link.told_demand.get(item.class_name, 0) <= 0 for item in demands)
+                and any(link.sent_demand.get(item.class_name, 0) <= 0 for item in demands)
             ]
-        wanted = self._usable_links(now)
+        usable = self._usable_links(now)
         for link in targets:
-            told = demands if link in wanted else []
-            if told or link.told_demand:
-                link.tell_demand(told)
+            demand = demands if link in usable else []
+            if demand or link.sent_demand:
+                link.send_demand(demand)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_early_listener.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_early_listener.py
@@ -1,6 +1,6 @@
-"""The listening socket of a process that is still loading.
+"""Listening socket of a process that is still loading.
 
-This module and what it imports are loaded before everything else, so they stay few and small.
+This module is loaded before everything else, so it has few and small imports.
 """
 
 from __future__ import annotations
@@ -11,26 +11,27 @@
 from ._addresses import bind_socket, split_address
 
 BACKLOG = 1024
-"""Connections that wait in the kernel until the process takes them; the kernel may allow fewer.
-Some hundred callers come back at once after the loss of all processes."""
+"""Length of the kernel's queue of connections to accept; the kernel may limit it to fewer. Some
+hundred callers reconnect at once after the loss of all processes."""
 
 
 class EarlyListener:
-    """A socket that takes connections into the kernel's queue until the process serves them.
+    """Socket that queues connections in the kernel until the process serves them.
 
-    A process that restarts loads its libraries for half a second. Callers that connect meanwhile
-    would be refused, and after the loss of all processes they are refused everywhere: each uses up
-    its repeats within milliseconds and gets nothing. Here they wait for that half second instead.
+    A restarting process loads its libraries for half a second. Without this socket, callers that
+    connect meanwhile would be refused. After the loss of all processes they would be refused
+    everywhere and use up their retries within milliseconds. Here they wait for that half second
+    instead.
 
     Parameters
     ----------
     listening : socket.socket
     opened_at : float
-        When it began to listen, seconds on the clock that counts suspended time.
+        Time at which it began to listen, seconds on the clock that includes suspended time.
 
     Notes
     -----
-    Not an attrs class: loading attrs would take longer than all that this module does.
+    This is no attrs class, since importing attrs would take longer than all else in this module.
     """
 
     def __init__(self, listening: socket.socket, opened_at: float):
@@ -38,7 +39,7 @@
         self.opened_at = opened_at
 
     def age(self) -> float:
-        """Return how long it has been listening, seconds."""
+        """Return the time since it began to listen, seconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) - self.opened_at
 
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/_engine_client.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_engine_client.py
@@ -32,7 +32,7 @@
 
 
 def engine_request_id(run: Run | Work) -> str:
-    """Return the id under which the engine knows an attempt."""
+    """Return the request id of an attempt at the engine."""
     return f"{run.request}-{run.attempt}"
 
 
@@ -42,9 +42,9 @@
 
     Notes
     -----
-    The engine is always asked for a stream, also where the caller wants one piece: the slot then
-    counts tokens as they come, can cancel at any moment, and after a crash the entry knows which
-    tokens another engine need not generate again.
+    The engine is always asked for a stream, also for a caller that does not want one: the slot can
+    then count tokens as they arrive and cancel at any time, and after a crash the entry has the
+    tokens that another engine need not generate again.
     """
 
     can_pause = True
@@ -87,9 +87,9 @@
         )
 
     async def probe(self) -> bool:
-        """Return whether the engine says that it is healthy."""
+        """Return whether ``GET /healthz`` of the engine reports that it is healthy."""
         try:
-            async with self.sessions.kept.get(
+            async with self.sessions.pooled.get(
                 self.url + "/healthz", timeout=PROBE_TIMEOUT
             ) as response:
                 return response.status == 200
@@ -107,7 +107,7 @@
         loop = asyncio.get_running_loop()
         times = []
         try:
-            async with self.sessions.kept.post(
+            async with self.sessions.pooled.post(
                 self.url + "/v1/chat/completions", json=body, timeout=PROBE_TIMEOUT
             ) as response:
                 await _check_accepted(response)
@@ -120,20 +120,20 @@
 
     async def pause(self, request: str) -> bool:
         """Pause a running request; False if the engine does not run it."""
-        return await self._control(request, "pause")
+        return await self._post_control(request, "pause")
 
     async def resume(self, request: str) -> bool:
-        """Resume a paused request; False if the engine does not hold it."""
-        return await self._control(request, "resume")
+        """Resume a paused request; False if the engine does not have it."""
+        return await self._post_control(request, "resume")
 
     async def cancel(self, request: str) -> None:
-        """Tell the engine that nobody waits for the answer."""
-        await self._control(request, "cancel")
+        """Cancel a request at the engine, since nobody waits for its answer."""
+        await self._post_control(request, "cancel")
 
-    async def _control(self, request: str, verb: str) -> bool:
+    async def _post_control(self, request: str, verb: str) -> bool:
         url = f"{self.url}/requests/{request}/{verb}"
         try:
-            async with self.sessions.kept.post(url, timeout=CONTROL_TIMEOUT) as response:
+            async with self.sessions.pooled.post(url, timeout=CONTROL_TIMEOUT) as response:
                 return response.status == 200
         except BROKEN_ERRORS:
             return False
@@ -147,19 +147,19 @@
     if response.status == 503:
         raise UpstreamError(ErrorKind.NO_UPSTREAM, detail, sent=False)
     if response.status >= 500:
-        # The engine failed inside the request. Taken for a refusal, a caller would hear "not run"
-        # of a request that may have run.
+        # The engine failed while it processed the request. If this counted as a refusal, the caller
+        # would get "not run" for a request that may have run.
         raise UpstreamError(ErrorKind.UPSTREAM_FAILED, detail, sent=True)
     raise UpstreamError(ErrorKind.UPSTREAM_REFUSED, detail, sent=False)
 
 
 async def _read_events(response: aiohttp.ClientResponse) -> AsyncIterator[AnswerPart]:
-    """Yield the tokens of a stream and its end.
+    """Yield the tokens of a stream and its end marker.
 
     Raises
     ------
     UpstreamError
-        If the stream ends before it says so: the rest of the answer is missing.
+        If the stream ends without its end marker, so that the answer is incomplete.
     """
     rest = b""
     finish_reason = ""
@@ -182,7 +182,7 @@
             finish_reason = choice.get("finish_reason") or finish_reason
             usage = parsed.get("usage") or usage
     raise UpstreamError(
-        ErrorKind.UPSTREAM_FAILED, "the stream ended too early", sent=True, crashed=True
+        ErrorKind.UPSTREAM_FAILED, "the stream ended before its end marker", sent=True, crashed=True
     )
 
 
@@ -193,6 +193,6 @@
         parsed = json.loads(event[len(_DATA) :])
     except ValueError as error:
         raise UpstreamError(
-            ErrorKind.UPSTREAM_FAILED, "an event of the stream is no JSON", sent=True
+            ErrorKind.UPSTREAM_FAILED, "an event of the stream is not valid JSON", sent=True
         ) from error
     return parsed if isinstance(parsed, dict) else {}
--- a/packages/burdockquay-transport/src/burdockquay_transport/_once_era.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_era_follower.py
@@ -1,4 +1,4 @@
-"""Notices that the table returned from a copy, and brings the claims of this slot back."""
+"""Detects that the table was restored from a copy, and restores the claims of this slot."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from ._clock import Clock
 from ._events import Event, log_event
 
-LOOK_S = 0.5
-"""Time between two looks while claims might be lost or an era is not open, seconds."""
+ERA_POLL_INTERVAL_S = 0.5
+"""Time between two checks while claims may be lost or the era is not open, seconds."""
 
-LOOK_LIMIT_S = 0.5
-"""Limit on one look, seconds: a connection may be silent since before the return."""
+ERA_READ_TIMEOUT_S = 0.5
+"""Timeout of one check, seconds: a connection from before the restore may be unresponsive."""
 
 _KEYS_LOGGED = 10
 
 
 class EraFollower:
-    """Asks the table for its era while this process has claims that a copy may lack.
+    """Reads the era of the table while this process has claims that a copy may lack.
 
     Parameters
     ----------
@@ -36,27 +36,27 @@
         self._reported = 0
 
     async def run(self) -> None:
-        """Follow the era until cancelled."""
+        """Follow the era until cancelled; run as a task."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(ERA_POLL_INTERVAL_S)
             await self.follow()
 
     async def follow(self) -> None:
-        """Look once if there is a reason to, and log what has changed."""
+        """Check the era once if necessary, and log changes."""
         if len(self.eras.claims.memory):
-            await self._ask()
+            await self._refresh_era()
         if not self.eras.is_open:
             await self.eras.look()
         self._log_changes()
 
-    async def _ask(self) -> None:
-        """Learn the era, and forget the claims that are old enough."""
+    async def _refresh_era(self) -> None:
+        """Read a row to receive the era, and drop the claims that need not be kept any longer."""
         claims = self.eras.claims
         try:
-            asked = await asyncio.wait_for(claims.table.get([OPEN_ERA_KEY]), LOOK_LIMIT_S)
+            reply = await asyncio.wait_for(claims.table.get([OPEN_ERA_KEY]), ERA_READ_TIMEOUT_S)
         except TimeoutError:
             return
-        if asked.is_ok():
+        if reply.is_ok():
             claims.memory.prune(self.eras.era, self.clock.wall())
 
     def _log_changes(self) -> None:
--- a/packages/burdockquay-transport/src/burdockquay_transport/_events.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_events.py
@@ -1,6 +1,6 @@
-"""Numbered log events, and the one function that writes them.
+"""Numbered log events, and the function that writes them.
 
-Each line holds a time stamp in UTC, a level, the number and name of the event and its fields::
+Each line has a time stamp in UTC, a level, the number and name of the event and its fields::
 
     2026-03-01T08:30:00.125000Z INFO E1301 peer_connected vm=slot-3 incarnation=9f2c
 
@@ -25,7 +25,7 @@
 from ._log_pipe import LogPipe, PipeHandler
 
 MAX_VALUE_CHARACTERS = 200
-"""Longest value of a field that is written in full, characters."""
+"""Length up to which the value of a field is written in full, characters."""
 
 FORBIDDEN_FIELDS = frozenset(
     {
@@ -49,56 +49,64 @@
         "token",
     }
 )
-"""Names of fields that would carry a secret or the content of a request."""
+"""Field names that suggest a secret or the content of a request."""
 
 LINE_FIELDS = frozenset({"time", "level", "event", "name"})
-"""What each line tells of itself. A field of the same name would take its place: lines about sends
-had the urgency of a request as their level, and no filter by level found them."""
+"""Fields that every line has. An event field of the same name would replace them: lines about sends
+once had the urgency of a request as their level, and no filter by level found them."""
 
 _REFUSED_FIELDS = FORBIDDEN_FIELDS | LINE_FIELDS
 
 MAX_ITEMS = 100
-"""Items of a list that are written."""
+"""Limit on the items of a list that are written."""
 
-_PLAIN = re.compile(r"[A-Za-z0-9_.:/@+*,()\[\]#%-]+")
+_UNQUOTED = re.compile(r"[A-Za-z0-9_.:/@+*,()\[\]#%-]+")
 _FORMAT = "{record.time:%Y-%m-%dT%H:%M:%S.%f}Z {record.level_name} {record.message}"
 
 
 class Event(enum.Enum):
-    """Every event that a process may log.
+    """Events that a process may log.
 
     Parameters
     ----------
     number : int
-        Never used again for another event.
+        Never reused for another event.
     level : str
         Name of the log level.
     summary : str
-        What has happened and what it means, for the catalogue.
+        What happened and what it means, for the catalogue.
 
     Notes
     -----
-    What happens once for each request is at level DEBUG: under a burst of refusals a line each
-    would cost more than the refusals. The counters tell the numbers at any level.
+    Events that occur for every request have level DEBUG: in a burst of refusals one line each would
+    cost more than the refusals. The metrics count them at any log level.
     """
 
     PROCESS_STARTED = (1001, "INFO", "The process started with these settings.")
     PROCESS_LISTENING = (1002, "INFO", "The process listens at this address.")
-    PROCESS_READY = (1003, "INFO", "The process takes work from now on.")
-    PROCESS_STOPPING = (1004, "INFO", "A planned stop began: no new work, running work goes on.")
-    PROCESS_STOPPED = (1005, "INFO", "The process ended.")
+    PROCESS_READY = (1003, "INFO", "The process accepts work from now on.")
+    PROCESS_STOPPING = (
+        1004,
+        "INFO",
+        "A graceful shutdown began: no new work is accepted, running work continues.",
+    )
+    PROCESS_STOPPED = (1005, "INFO", "The process has stopped.")
     STOP_LIMIT_REACHED = (
         1006,
         "WARNING",
-        "The limit on a graceful shutdown passed; requests that still ran get an error.",
+        "The time limit of a graceful shutdown has passed; requests that still run get an error.",
+    )
+    INTERNAL_ERROR = (1007, "ERROR", "A fault in the program; the affected requests get an error.")
+    SETTING_RENAMED = (
+        1008,
+        "WARNING",
+        "The settings use a deprecated name, which will be removed.",
     )
-    INTERNAL_ERROR = (1007, "ERROR", "A fault in the program; the requests concerned get an error.")
-    SETTING_RENAMED = (1008, "WARNING", "The settings use an old name, which will go.")
 
     LOG_LINES_HELD_BACK = (
         1009,
         "WARNING",
-        "Lines of these events were left out: too many in a second, or nobody read them.",
+        "Lines of these events were dropped: too many in a second, or the log was not read.",
     )
 
     CONFIGURATION_APPLIED = (1101, "INFO", "A revision of the configuration is in force here.")
@@ -106,26 +114,31 @@
         1104,
         "WARNING",
         "The platform shows an older configuration than the newest one in force at any process;"
-        " what is in force here stays, and is not confirmed by it.",
+        " what is in force here stays in force, without being confirmed by this read.",
+    )
+    RECORD_FAULT = (
+        1102,
+        "ERROR",
+        "A record cannot be used; its last valid version stays in force.",
     )
-    RECORD_FAULT = (1102, "ERROR", "A record cannot be used; its last good version stays in force.")
     RECORD_SCHEMA_UNKNOWN = (
         1103,
         "WARNING",
-        "A record has only schemas this release does not know; its last known version stays.",
+        "A record has only schemas that this release does not support; its last supported version "
+        "stays in force.",
     )
 
     CONFIGURATION_LOST = (
         1124,
         "WARNING",
-        "The table returned from a copy and has lost changes of the configuration; they stay in "
+        "The table was restored from a copy and lacks changes of the configuration; they stay in "
         "force here. Put them again.",
     )
     RECORDS_KEPT = (
         1125,
         "WARNING",
-        "These records stay as they were in force: the log lost their last change and went on. Put "
-        "or withdraw each of them again.",
+        "These records stay as they were in force: the log lost their last change and has new "
+        "entries since. Put or withdraw each of them again.",
     )
 
     TABLE_UNAVAILABLE = (1201, "ERROR", "The table service does not answer.")
@@ -133,101 +146,153 @@
     STORE_RETURNED = (
         1206,
         "WARNING",
-        "The platform's store came back from a copy: its newest changes are lost, and its era rose."
-        " What was in force stays so until it is written again; ``ages_s`` tells how old what is"
-        " known of each table was.",
+        "The platform's store was restored from a copy: its newest changes are lost, and its era"
+        " increased. What was in force stays in force until it is written again; ``ages_s`` is the"
+        " age of the last received state of each table.",
+    )
+    VM_LIST_UNREADABLE = (
+        1203,
+        "WARNING",
+        "The VM list cannot be read; the last list read stays in use.",
     )
-    VM_LIST_UNREADABLE = (1203, "WARNING", "The VM list cannot be read; the last one is used.")
     VM_LIST_RECOVERED = (1204, "INFO", "The VM list can be read again.")
-    VM_ENTRY_FAULT = (1205, "WARNING", "An entry of the VM list is malformed and left out.")
+    VM_ENTRY_FAULT = (1205, "WARNING", "An entry of the VM list is malformed and is ignored.")
     TABLE_ERA_CHANGED = (
         1226,
         "NOTICE",
-        "The table service returned from a copy: its writes since the copy are gone.",
+        "The table service was restored from a copy: its writes since the copy are lost.",
     )
 
-    PEER_CONNECTED = (1301, "INFO", "A connection to another process is up.")
+    PEER_CONNECTED = (1301, "INFO", "A connection to another process was established.")
     PEER_DISCONNECTED = (1302, "INFO", "A connection to another process ended.")
-    HANDSHAKE_REFUSED = (1303, "WARNING", "A process could not prove that it belongs to us.")
-    PEER_MALFORMED = (1304, "ERROR", "A peer sent a message that cannot be read; it is cut off.")
-    PEER_OVERSIZED = (1305, "ERROR", "A peer sent a message over the limit; it is cut off.")
-    PEER_UNKNOWN_TYPE = (1306, "ERROR", "A peer sent a message of unknown type; it is cut off.")
-    PEER_OUT_OF_ORDER = (1307, "ERROR", "A peer sent a message out of order; it is cut off.")
-    PEER_INCARNATION_CHANGED = (1308, "NOTICE", "Another process answers for a known VM.")
+    HANDSHAKE_REFUSED = (
+        1303,
+        "WARNING",
+        "A handshake with another process failed, for this reason.",
+    )
+    PEER_MALFORMED = (1304, "ERROR", "A peer sent a malformed message; it is disconnected.")
+    PEER_OVERSIZED = (
+        1305,
+        "ERROR",
+        "A peer sent a message above the size limit; it is disconnected.",
+    )
+    PEER_UNKNOWN_TYPE = (
+        1306,
+        "ERROR",
+        "A peer sent a message of unknown type; it is disconnected.",
+    )
+    PEER_OUT_OF_ORDER = (1307, "ERROR", "A peer sent a message out of order; it is disconnected.")
+    PEER_INCARNATION_CHANGED = (
+        1308,
+        "NOTICE",
+        "A VM that was connected before answers with a new process.",
+    )
     PEER_UNREACHABLE = (1309, "WARNING", "A process on the VM list cannot be reached.")
-    SLOT_LEAVING = (1310, "INFO", "A slot is leaving and gets no new work.")
+    SLOT_LEAVING = (1310, "INFO", "A slot is draining and gets no new work.")
 
     REQUEST_REFUSED = (1401, "DEBUG", "A request was refused or failed, for this reason.")
     ATTEMPT_FAILED = (1402, "DEBUG", "An attempt failed at a slot.")
-    REQUEST_RETRIED = (1403, "DEBUG", "A request is tried again elsewhere.")
-    RETRY_BUDGET_EMPTY = (1404, "WARNING", "Retries are refused: their share of traffic is spent.")
+    REQUEST_RETRIED = (1403, "DEBUG", "A request is retried elsewhere.")
+    RETRY_BUDGET_EMPTY = (
+        1404,
+        "WARNING",
+        "Retries are refused: the retry budget, a share of the traffic, is used up.",
+    )
 
-    UPSTREAM_CRASHED = (1501, "ERROR", "The upstream ended while it ran requests.")
+    UPSTREAM_CRASHED = (1501, "ERROR", "The upstream crashed while it ran requests.")
     UPSTREAM_UNHEALTHY = (1502, "WARNING", "The upstream fails its probes and gets no work.")
     UPSTREAM_HEALTHY = (1503, "INFO", "The upstream passes its probes again.")
     STRAGGLER_EJECTED = (1504, "WARNING", "An upstream is much slower than its peers.")
     STRAGGLER_RETURNED = (1505, "INFO", "An upstream is as fast as its peers again.")
-    REQUEST_PAUSED = (1506, "DEBUG", "A running request makes room for a more urgent one.")
-    REQUEST_RESUMED = (1507, "DEBUG", "A paused request runs again.")
+    REQUEST_PAUSED = (1506, "DEBUG", "A running request is paused in favour of a more urgent one.")
+    REQUEST_RESUMED = (1507, "DEBUG", "A paused request was resumed.")
 
-    QUARANTINE_SUSPECTED = (1601, "WARNING", "A request ran where an upstream crashed.")
+    QUARANTINE_SUSPECTED = (1601, "WARNING", "These requests ran on an upstream when it crashed.")
 
     CLAIM_REFUSED = (1701, "INFO", "A claim was refused: another attempt holds it.")
-    CLAIM_OUTCOME_UNKNOWN = (1702, "WARNING", "A request at most once may or may not have run.")
-    CLAIMS_RESTORED = (1723, "NOTICE", "The claims of this slot stand in the returned table again.")
+    CLAIM_OUTCOME_UNKNOWN = (
+        1702,
+        "WARNING",
+        "It is unknown whether a request that may run at most once has run.",
+    )
+    CLAIMS_RESTORED = (1723, "NOTICE", "The claims of this slot are in the restored table again.")
     CLAIM_TAKEN_MEANWHILE = (
         1724,
         "ERROR",
-        "A lost claim could not be written again, as another attempt holds its key: the request "
-        "may run twice.",
+        "A lost claim could not be written again, since another attempt holds its key: the "
+        "request may run twice.",
+    )
+    CLAIMS_HELD = (
+        1725,
+        "WARNING",
+        "No new claims are made, since lost claims may still be written again.",
     )
-    CLAIMS_HELD = (1725, "WARNING", "No new claims: lost ones may still be written again.")
     CLAIMS_OPEN = (1726, "INFO", "New claims are made in this era of the table.")
 
-    CALL_REFUSED = (1901, "INFO", "A forwarder answered a request itself, for this reason.")
-    CALL_ENDED = (1902, "INFO", "A forwarded request ended with this status after so many sends.")
-    SEND_FAILED = (1903, "INFO", "A send to an upstream brought no answer that could be passed on.")
+    CALL_REFUSED = (1901, "INFO", "A forwarder refused a request itself, for this reason.")
+    CALL_ENDED = (
+        1902,
+        "INFO",
+        "A forwarded request ended with this status after this number of sends.",
+    )
+    SEND_FAILED = (
+        1903,
+        "INFO",
+        "A send to an upstream produced no answer that could be relayed to the caller.",
+    )
     UPSTREAMS_CHANGED = (1904, "INFO", "The list of upstreams has changed.")
     UPSTREAM_AVOIDED = (
         1915,
         "INFO",
-        "Others told that an upstream fails; it is avoided.",
+        "Other forwarders report that an upstream fails; it is avoided.",
+    )
+    MEMBER_NOT_REMOVED = (
+        1907,
+        "WARNING",
+        "A forwarder that shuts down could not remove its entry.",
     )
-    MEMBER_NOT_REMOVED = (1907, "WARNING", "A leaving forwarder could not take out its entry.")
     MEMBER_REJOINED = (
         1916,
         "INFO",
-        "After a return of the store from a copy a forwarder made sure of its entry; ``kept`` says"
-        " whether it still stood there.",
+        "After a restore of the store from a copy a forwarder ensured that its entry is listed;"
+        " ``kept`` is whether it still was.",
     )
     UPSTREAMS_KEPT = (
         1917,
         "WARNING",
-        "The store came back from a copy with an older list of upstreams. Those known to leave"
-        " (``leaving``) or gone (``withheld``) get no work although it lists them; those it lacks"
-        " (``missing``) are used until they have had time to enter themselves again.",
+        "The store was restored from a copy with an older list of upstreams. Those known to drain"
+        " (``leaving``) or to be removed (``withheld``) get no work although they are listed; those"
+        " not listed (``missing``) are used until they have had time to register again.",
+    )
+    MEMBER_FORGOTTEN = (
+        1908,
+        "NOTICE",
+        "A forwarder was unreachable for long; its entry is removed.",
     )
-    MEMBER_FORGOTTEN = (1908, "NOTICE", "A forwarder was unreachable for long; its entry goes.")
     MEMBERS_UNREACHABLE = (
         1912,
         "WARNING",
-        "The list of forwarders cannot be read or written; known ones stay connected.",
+        "The list of forwarders cannot be read or written; known forwarders stay connected.",
     )
-    ROUTE_FAULT = (1909, "ERROR", "A route of the configuration cannot be read and is left out.")
-    SERVICE_FAULT = (1914, "ERROR", "What the configuration says of a service cannot be read.")
+    ROUTE_FAULT = (1909, "ERROR", "A route of the configuration is invalid and is ignored.")
+    SERVICE_FAULT = (1914, "ERROR", "The configuration of a service is invalid.")
     CALL_SENT = (
         1911,
         "INFO",
-        "A request was sent to an upstream; the fields tell what decided it and how old that was.",
+        "A request was sent to an upstream; the fields give the data for the choice and its age.",
     )
     FIRST_TOKEN = (
         1910,
         "DEBUG",
-        "The first token of a prompt came; the fields tell what was predicted and what it took.",
+        "The first token of a prompt arrived; the fields give the predicted and the actual time.",
     )
     SETTINGS_RELOADED = (1905, "INFO", "The settings were read again; nothing was dropped.")
-    MECHANISMS_SET = (1913, "INFO", "All mechanisms of the forwarder decide but these.")
-    SETTINGS_FAULT = (1906, "ERROR", "Changed settings are wrong; the last good ones stay.")
+    MECHANISMS_SET = (1913, "INFO", "All mechanisms of the forwarder are active except these.")
+    SETTINGS_FAULT = (
+        1906,
+        "ERROR",
+        "Changed settings are invalid; the last valid ones stay in force.",
+    )
 
     ORDER_DONE = (1803, "INFO", "The engine carried out an order.")
 
@@ -242,14 +307,14 @@
 
 
 @attrs.define
-class _Form:
-    """How events are written: the function, and the fields of every JSON line."""
+class _LineFormat:
+    """Line format: the formatting function, and the common fields of every JSON line."""
 
     write: Callable[[Event, dict[str, Any]], str]
     common: dict[str, Any] = attrs.field(factory=dict)
 
 
-_form = _Form(lambda event, fields: format_event(event, fields))
+_line_format = _LineFormat(lambda event, fields: format_event(event, fields))
 
 
 def log_event(event: Event, **fields: Any) -> None:
@@ -259,13 +324,13 @@
     ----------
     event : Event
     **fields
-        What is known of it; names as in :data:`FORBIDDEN_FIELDS` and :data:`LINE_FIELDS` are
+        Fields of the event; names in :data:`FORBIDDEN_FIELDS` and :data:`LINE_FIELDS` are
         refused.
 
     Raises
     ------
     ValueError
-        If a field has a forbidden name, whatever the level of the log.
+        If a field has a forbidden name, regardless of the log level.
     """
     forbidden = _REFUSED_FIELDS.intersection(fields)
     if forbidden:
@@ -273,7 +338,7 @@
     if event.severity < _logger.level:
         return
     number = f"E{event.number}"
-    _logger.log(event.severity, "{}", _form.write(event, fields), extra={"event": number})
+    _logger.log(event.severity, "{}", _line_format.write(event, fields), extra={"event": number})
 
 
 def format_event(event: Event, fields: dict[str, Any]) -> str:
@@ -292,7 +357,8 @@
 def format_json_event(event: Event, fields: dict[str, Any]) -> str:
     """Return the line of an event as one JSON object, with the time of day.
 
-    Fields that are None are left out. A field of the name of a common one is about another process.
+    Fields that are None are omitted. A field with the name of a common field describes another
+    process and gets the prefix ``peer_``.
     """
     moment = datetime.datetime.now(datetime.UTC)
     line = {
@@ -301,17 +367,17 @@
         "event": f"E{event.number}",
         "name": event.name.lower(),
     }
-    line |= _form.common
+    line |= _line_format.common
     for name, value in fields.items():
         if value is not None:
-            line[f"peer_{name}" if name in _form.common else name] = _plain_value(value)
+            line[f"peer_{name}" if name in _line_format.common else name] = _to_json_value(value)
     return json.dumps(line, separators=(",", ":"))
 
 
 def describe_fault(error: BaseException) -> str:
     """Return the type of an exception and where it was raised.
 
-    The message is left out: it can hold a piece of the request that led to the exception.
+    The message is omitted: it can contain a part of the request that led to the exception.
 
     Examples
     --------
@@ -324,7 +390,7 @@
 
 
 def setup_json_logging(level: str, fd: int, **common: Any) -> PipeHandler:
-    """Send events of ``level`` and above as JSON lines to a file descriptor, without waiting.
+    """Write events of ``level`` and above as JSON lines to a file descriptor, without blocking.
 
     Parameters
     ----------
@@ -337,11 +403,11 @@
     Returns
     -------
     PipeHandler
-        The handler; ``pop_application()`` takes it out again.
+        The handler; ``pop_application()`` removes it.
     """
     _logger.level = logbook.lookup_level(level)
-    _form.write = format_json_event
-    _form.common = common
+    _line_format.write = format_json_event
+    _line_format.common = common
     handler = PipeHandler(LogPipe(fd, time.monotonic, _describe_held_back), level)
     handler.push_application()
     return handler
@@ -352,7 +418,7 @@
 
 
 def setup_logging(level: str, stream: TextIO) -> logbook.StreamHandler:
-    """Send events of ``level`` and above to ``stream``, for the whole process.
+    """Write events of ``level`` and above to ``stream``, for the whole process.
 
     Parameters
     ----------
@@ -363,25 +429,25 @@
     Returns
     -------
     logbook.StreamHandler
-        The handler; ``pop_application()`` takes it out again.
+        The handler; ``pop_application()`` removes it.
     """
     _logger.level = logbook.lookup_level(level)
-    _form.write = format_event
+    _line_format.write = format_event
     handler = logbook.StreamHandler(stream, level=level, format_string=_FORMAT)
     handler.push_application()
     return handler
 
 
-def _plain_value(value: Any) -> Any:
-    """Return a value as JSON takes it, cut to a bounded length."""
+def _to_json_value(value: Any) -> Any:
+    """Return a value in a JSON type, truncated to a bounded length."""
     if isinstance(value, bool | int):
         return value
     if isinstance(value, float):
         return float(f"{value:.6g}") if math.isfinite(value) else None
     if isinstance(value, list | tuple):
-        return [_plain_value(item) for item in value[:MAX_ITEMS]]
+        return [_to_json_value(item) for item in value[:MAX_ITEMS]]
     if isinstance(value, dict):
-        return {str(name): _plain_value(item) for name, item in value.items()}
+        return {str(name): _to_json_value(item) for name, item in value.items()}
     return _describe(value)[:MAX_VALUE_CHARACTERS]
 
 
@@ -389,10 +455,10 @@
     text = _describe(value)
     if len(text) > MAX_VALUE_CHARACTERS:
         text = f"{text[:MAX_VALUE_CHARACTERS]}...({len(text)} characters)"
-    if _PLAIN.fullmatch(text):
+    if _UNQUOTED.fullmatch(text):
         return text
-    # An escaped value cannot end the line: whoever names a VM or sends a header would otherwise
-    # write lines into our log that look like events.
+    # Escaping keeps the value within its line. Otherwise the name of a VM or a header could inject
+    # lines into the log that look like events.
     return json.dumps(text)
 
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/_log_pipe.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_log_pipe.py
@@ -1,4 +1,4 @@
-"""Log lines on a pipe whose reader may stop: bounded, and never waited for."""
+"""Non-blocking, bounded output of log lines to a pipe whose reader may stop."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 import logbook
 
 MAX_WAITING_BYTES = 1 << 18
-"""Bytes that wait for a reader at most; at a kilobyte a request this is some seconds of traffic."""
+"""Limit on the bytes that wait for the reader; at a kilobyte per request, seconds of traffic."""
 
-FLUSH_S = 0.05
+FLUSH_INTERVAL_S = 0.05
 """Longest time that a line waits for others, seconds. One write for many lines costs a tenth of the
-processor time of a write for each."""
+processor time of one write per line."""
 
 LINES_PER_S = 200
-"""Lines of one event that are written in a second; more are counted. It is several times what a
-process of the present size writes on a busy day."""
+"""Limit on the lines written per event and second; further lines are only counted. It is several
+times what a process of the present size writes on a busy day."""
 
 
 class LineLimiter:
-    """Bounds the lines of each event in a second, and counts what it holds back.
+    """Limits the lines per event and second, and counts the lines that it holds back.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
     >>> limiter = LineLimiter(2)
     >>> [limiter.allows("E1", 0.1) for _ in range(3)]
     [True, True, False]
-    >>> limiter.allows("E1", 1.2), limiter.take_held_back()
+    >>> limiter.allows("E1", 1.2), limiter.pop_held_back()
     (True, {'E1': 1})
     """
 
@@ -54,30 +54,31 @@
         self._held_back[event] += 1
         return False
 
-    def note_dropped(self, event: str) -> None:
-        """Count a line that found no room."""
+    def record_dropped(self, event: str) -> None:
+        """Count a line that was dropped because the buffer was full."""
         self._held_back[event] += 1
 
-    def take_held_back(self) -> dict[str, int]:
-        """Return how many lines of each event were held back, and begin to count anew."""
+    def pop_held_back(self) -> dict[str, int]:
+        """Return the number of lines held back per event, and reset the counts."""
         held_back, self._held_back = dict(self._held_back), Counter()
         return held_back
 
 
 class LogPipe:
-    """Writes lines to a file descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without waiting for its reader.
 
-    A reader that stops would otherwise block the process at the next line, and all requests with
-    it. Lines that find no room are dropped and counted; the count is written once there is room.
+    A reader that stops would otherwise block the process, and all its requests, at the next line.
+    Lines that do not fit in the buffer are dropped and counted; the count is written once there is
+    room.
 
     Parameters
     ----------
     fd : int
-        Left as it is, but for being set not to block.
+        Set to non-blocking mode; otherwise unchanged and never closed here.
     now : callable
         Returns the time, seconds.
     describe : callable
-        Returns the line that tells how many lines of each event were held back.
+        Returns the line that reports how many lines of each event were held back.
     """
 
     def __init__(
@@ -97,13 +98,13 @@
             return
         data = line.encode("utf-8", "replace") + b"\n"
         if len(self._waiting) + len(data) > MAX_WAITING_BYTES:
-            self._limiter.note_dropped(event)
+            self._limiter.record_dropped(event)
             return
         self._waiting += data
         self._flush_soon()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much as the reader accepts now, and schedule the rest."""
         self._timer = None
         self._report_held_back()
         try:
@@ -111,7 +112,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # The reader is gone for good; there is nobody left to tell.
+            # The reader has closed the pipe, so the lines are dropped.
             written = len(self._waiting)
         del self._waiting[:written]
         if self._waiting:
@@ -125,10 +126,10 @@
         except RuntimeError:
             self.flush_once()
             return
-        self._timer = loop.call_later(FLUSH_S, self.flush)
+        self._timer = loop.call_later(FLUSH_INTERVAL_S, self.flush)
 
     def flush_once(self) -> None:
-        """Write what the reader takes now and do not come back for the rest."""
+        """Write as much as the reader accepts now, without scheduling the rest."""
         try:
             written = os.write(self.fd, self._waiting)
         except OSError:
@@ -138,13 +139,13 @@
     def _report_held_back(self) -> None:
         if len(self._waiting) > MAX_WAITING_BYTES // 2:
             return
-        held_back = self._limiter.take_held_back()
+        held_back = self._limiter.pop_held_back()
         if held_back:
             self._waiting += self.describe(held_back).encode() + b"\n"
 
 
 class PipeHandler(logbook.Handler):
-    """Handler of the logging library that hands lines to a :class:`LogPipe`.
+    """Handler of the logging library that writes lines to a :class:`LogPipe`.
 
     Parameters
     ----------
--- a/packages/burdockquay-transport/src/burdockquay_transport/_metrics.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_metrics.py
@@ -1,7 +1,7 @@
-"""Counters, timers and gauges, and where they go.
+"""Counters, timers and gauges, and the sinks that they are sent to.
 
 Sinks register under a name in :data:`metrics_sinks`. A sink never blocks and never raises, so
-that a lost collector costs figures and no request.
+that the loss of the collector loses metrics but affects no request.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 from ._settings import MetricsSettings
 
 FLUSH_INTERVAL_S = 10.0
-"""How often :func:`keep_flushing` sends what a sink holds, seconds; a collector's usual window."""
+"""Interval at which :func:`keep_flushing` flushes a sink, seconds; a collector's usual window."""
 
 MAX_SAMPLES = 20
-"""Samples of one timer that are sent at each flush; with four timers in each of four classes and
-60 bytes a sample that is 1.9 kB a second, inside what a node may spend on control."""
+"""Limit on the samples of one timer per flush; with four timers in each of four classes and 60
+bytes per sample that is 1.9 kB a second, within what a node may spend on control."""
 
 MAX_NAMES = 5000
-"""Names that a sink holds between two flushes; more are counted and dropped."""
+"""Limit on the names in a sink between two flushes; further ones are counted and dropped."""
 
 REQUESTS = "requests"
 """Counter of requests with a valid API key that arrived at an entry."""
 TOKENS = "tokens.generated"
-"""Counter of tokens of answers that ended whole."""
+"""Counter of tokens of complete answers."""
 TOKENS_WASTED = "tokens.wasted"
-"""Counter of tokens of answers that did not."""
+"""Counter of tokens of incomplete answers."""
 TIMINGS_DROPPED = "metrics.timings_dropped"
 """Counter of timer samples that were not sent, to keep to :data:`MAX_SAMPLES`."""
 NAMES_DROPPED = "metrics.names_dropped"
-"""Counter of figures dropped because there were too many names."""
+"""Counter of metric updates dropped because there were too many names."""
 
 
 def refusal_counter(kind: ErrorKind) -> str:
-    """Return the name of the counter of one kind of refusal.
+    """Return the name of the counter for one kind of refusal.
 
     Examples
     --------
@@ -56,7 +56,7 @@
 
 
 def retry_counter(reason: ErrorKind) -> str:
-    """Return the name of the counter of retries made for one reason.
+    """Return the name of the counter for retries with one reason.
 
     Examples
     --------
@@ -68,36 +68,36 @@
 
 def class_counter(class_name: str, outcome: str) -> str:
     """Return the name of a counter of one class, such as ``classes.hold.in_time``."""
-    return f"classes.{_plain(class_name)}.{outcome}"
+    return f"classes.{_sanitize(class_name)}.{outcome}"
 
 
-class timers:  # noqa: N801 - a namespace of names, as constants are
+class timers:  # noqa: N801 - a namespace, not a type
     """Names of the timers of a class."""
 
     @staticmethod
     def first_token(class_name: str) -> str:
-        """Arrival at the entry to the first byte of the answer's body."""
-        return f"classes.{_plain(class_name)}.first_token"
+        """Time from the arrival at the entry to the first byte of the answer's body."""
+        return f"classes.{_sanitize(class_name)}.first_token"
 
     @staticmethod
     def between_tokens(class_name: str) -> str:
         """Mean time between two tokens of one answer."""
-        return f"classes.{_plain(class_name)}.between_tokens"
+        return f"classes.{_sanitize(class_name)}.between_tokens"
 
     @staticmethod
     def whole(class_name: str) -> str:
-        """Arrival at the entry to the end of the answer."""
-        return f"classes.{_plain(class_name)}.whole"
+        """Time from the arrival at the entry to the end of the answer."""
+        return f"classes.{_sanitize(class_name)}.whole"
 
 
 @functools.lru_cache(MAX_NAMES)
-def _plain(name: str) -> str:
-    # A dot would open a new level in the collector's tree, and ':' or '|' end the name on the wire.
+def _sanitize(name: str) -> str:
+    # A dot would add a level to the collector's tree, and ':' or '|' ends the name on the wire.
     return re.sub(r"[^A-Za-z0-9_-]", "_", name)
 
 
 class MetricsSink(ABC):
-    """Where figures go. No method blocks or raises."""
+    """Destination of metrics. No method blocks or raises."""
 
     @abstractmethod
     def count(self, name: str, value: int = 1) -> None:
@@ -109,20 +109,20 @@
 
     @abstractmethod
     def gauge(self, name: str, value: float) -> None:
-        """Set a figure that goes up and down."""
+        """Set a gauge."""
 
-    def flush(self) -> None:  # noqa: B027 - most sinks hold nothing back
-        """Send what was held back."""
+    def flush(self) -> None:  # noqa: B027 - most sinks buffer nothing
+        """Send buffered metrics."""
 
-    def close(self) -> None:  # noqa: B027 - most sinks hold nothing open
-        """Send what was held back and free the socket."""
+    def close(self) -> None:  # noqa: B027 - most sinks have nothing to close
+        """Send buffered metrics and close the socket."""
 
 
 metrics_sinks: Registry[Callable[[MetricsSettings], MetricsSink]] = Registry("metrics sink")
 
 
 def make_sink(settings: MetricsSettings) -> MetricsSink:
-    """Return the sink that the settings name."""
+    """Return the sink named in the settings."""
     return metrics_sinks.get(settings.sink)(settings)
 
 
@@ -135,7 +135,7 @@
 
 @metrics_sinks.register("none")
 class NullSink(MetricsSink):
-    """Sink that keeps nothing."""
+    """Sink that discards everything."""
 
     def __init__(self, settings: MetricsSettings | None = None):
         self.settings = settings
@@ -152,7 +152,7 @@
 
 @metrics_sinks.register("memory")
 class MemorySink(MetricsSink):
-    """Sink that keeps everything, for tests and read-outs.
+    """Sink that stores everything in memory, for tests and inspection.
 
     Examples
     --------
@@ -173,28 +173,28 @@
         self.counts[name] += value
 
     def timing(self, name: str, seconds: float) -> None:
-        """Keep a duration."""
+        """Store a duration."""
         self.timings[name].append(seconds)
 
     def gauge(self, name: str, value: float) -> None:
-        """Keep the latest figure."""
+        """Store the latest value."""
         self.gauges[name] = value
 
 
 class _Client(statsd.StatsClient):
-    """Client whose socket drops a packet rather than wait for room in the send buffer."""
+    """Client whose socket drops a packet instead of waiting for space in the send buffer."""
 
     def __init__(self, settings: MetricsSettings):
         super().__init__(
             settings.host, settings.port, prefix=settings.prefix, ipv6=":" in settings.host
         )
-        # The library swallows OSError, which BlockingIOError is.
+        # The library ignores OSError, of which BlockingIOError is a subclass.
         self._sock.setblocking(False)
 
 
 @attrs.define
 class _Samples:
-    """A bounded, fair sample of the durations of one timer since the last flush."""
+    """Bounded uniform sample of the durations of one timer since the last flush."""
 
     seen: int = 0
     kept: list[float] = attrs.field(factory=list)
@@ -211,20 +211,20 @@
 
 @metrics_sinks.register("statsd")
 class StatsdSink(MetricsSink):
-    """Sink that sends to a statsd collector by UDP, a few packets at each flush.
+    """Sink that sends to a statsd collector by UDP, with a few packets per flush.
 
     Parameters
     ----------
     settings : MetricsSettings
     rng : random.Random
-        Chooses which samples of a busy timer are sent.
+        Selects the samples of a busy timer that are sent.
 
     Notes
     -----
-    A packet for each token would be most of an entry's system calls, so counters are added up
-    between flushes and a timer sends a sample of its durations. Percentiles hold; the number of
-    samples is no count of requests, for which there are counters. Client libraries sample by
-    drawing for each call; sampling per flush keeps rare timers whole.
+    One packet per token would make up most of an entry's system calls, so counters are added up
+    between flushes and a timer sends a sample of its durations. Percentiles stay correct; the
+    number of samples is no count of requests, for which there are counters. Client libraries decide
+    per call whether to sample it; sampling per flush keeps all durations of rare timers.
     """
 
     def __init__(self, settings: MetricsSettings, rng: random.Random | None = None):
@@ -237,21 +237,21 @@
 
     def count(self, name: str, value: int = 1) -> None:
         """Add to a counter."""
-        if self._has_room(self._counts, name):
+        if self._accepts_name(self._counts, name):
             self._counts[name] = self._counts.get(name, 0) + value
 
     def timing(self, name: str, seconds: float) -> None:
         """Record a duration."""
-        if self._has_room(self._samples, name):
+        if self._accepts_name(self._samples, name):
             self._samples.setdefault(name, _Samples()).add(seconds, self.rng)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a figure that goes up and down."""
-        if self._has_room(self._gauges, name):
+        """Set a gauge."""
+        if self._accepts_name(self._gauges, name):
             self._gauges[name] = value
 
     def flush(self) -> None:
-        """Send what was held back, several figures to a packet; does nothing once closed."""
+        """Send buffered metrics, several per packet; does nothing once closed."""
         if self._client is None:
             return
         dropped = sum(samples.seen - len(samples.kept) for samples in self._samples.values())
@@ -270,13 +270,13 @@
         self._samples.clear()
 
     def close(self) -> None:
-        """Send what was held back and close the socket."""
+        """Send buffered metrics and close the socket."""
         self.flush()
         if self._client is not None:
             self._client.close()
             self._client = None
 
-    def _has_room(self, figures: dict, name: str) -> bool:
+    def _accepts_name(self, figures: dict, name: str) -> bool:
         if name in figures or len(figures) < MAX_NAMES:
             return True
         self._counts[NAMES_DROPPED] = self._counts.get(NAMES_DROPPED, 0) + 1
--- a/packages/burdockquay-transport/src/burdockquay_transport/_order_follower.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_order_follower.py
@@ -1,4 +1,4 @@
-"""Follows the placement records: sends the orders that concern this slot's engine."""
+"""Sends the orders of the placement records that apply to this slot's engine."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 from ._send_once import BROKEN_ERRORS, CONNECT_ERRORS, SendOnce
 from ._upstream import UpstreamSessions
 
-FIRST_PAUSE_S = 0.5
-"""Time until a record that had to wait is tried again, seconds; doubles with each try."""
+FIRST_RETRY_DELAY_S = 0.5
+"""Delay before the first retry of a record, seconds; doubles with each retry."""
 
-LONGEST_PAUSE_S = 60.0
-"""Longest such time, which bounds what thousands of waiting slots read, seconds."""
+MAX_RETRY_DELAY_S = 60.0
+"""Longest retry delay, seconds; bounds the table reads of thousands of waiting slots."""
 
-LOOK_S = 0.5
-"""Time between two looks at the records in force, seconds; they lie in memory."""
+ORDER_POLL_INTERVAL_S = 0.5
+"""Time between two checks of the records in force, seconds; the records are in memory."""
 
 ORDER_TIMEOUT = aiohttp.ClientTimeout(total=1800.0, connect=2.0)
-"""Limit on one order; loading a large model takes minutes."""
+"""Timeout of one order; loading a large model takes minutes."""
 
 
 @attrs.frozen
 class _RecordKey:
-    """What tells one order from another: a record changed under its name is a new one."""
+    """Identity of an order: a record that changed under the same name is a new order."""
 
     name: str
     order: str
@@ -48,15 +48,15 @@
 
 
 @attrs.frozen
-class _Pause:
-    """How long a record waits, and until when."""
+class _Backoff:
+    """Retry delay of a record, seconds, and the time of its next attempt."""
 
-    length: float
-    until: float
+    delay_s: float
+    retry_at: float
 
 
 class HttpOrderTarget(OrderTarget):
-    """Engine that takes orders by ``POST /orders``.
+    """Engine that receives orders by ``POST /orders``.
 
     Parameters
     ----------
@@ -77,25 +77,25 @@
             "fencing": order.fencing,
         }
         try:
-            async with self.sessions.fresh.post(
+            async with self.sessions.unpooled.post(
                 self.url + "/orders",
                 json=body,
                 timeout=ORDER_TIMEOUT,
                 allow_redirects=False,
                 middlewares=(SendOnce(),),
             ) as response:
-                return _judge(response.status)
+                return _interpret_status(response.status)
         except CONNECT_ERRORS as error:
             return Err(OrderFailure(str(error), acted=False))
         except BROKEN_ERRORS as error:
             return Err(OrderFailure(type(error).__name__, acted=True))
 
 
-def _judge(status: int) -> Result[None, OrderFailure]:
+def _interpret_status(status: int) -> Result[None, OrderFailure]:
     if 200 <= status < 300:
         return Ok(None)
-    # An engine that answers that the order is wrong or outdated has not acted on it; one that
-    # fails may have.
+    # A 4xx answer says that the order is invalid or outdated and was not carried out. After any
+    # other failure it may have been carried out.
     return Err(OrderFailure(f"the engine answered {status}", acted=not 400 <= status < 500))
 
 
@@ -104,7 +104,7 @@
 
 
 class OrderFollower:
-    """Brings each placement record to the engine, with growing pauses while it has to wait.
+    """Applies each placement record to the engine, with exponential backoff while it must wait.
 
     Parameters
     ----------
@@ -114,7 +114,7 @@
         Returns the configuration in force.
     clock : Clock
     rng : random.Random
-        Jitter of the pauses.
+        Jitter of the retry delays.
     """
 
     def __init__(
@@ -132,30 +132,30 @@
         self.snapshot = snapshot
         self.clock = clock
         self.rng = rng
-        self._pauses: dict[_RecordKey, _Pause] = {}
+        self._backoffs: dict[_RecordKey, _Backoff] = {}
         self._done: set[_RecordKey] = set()
-        self._acting = asyncio.Lock()
+        self._acting_lock = asyncio.Lock()
         self._stopped = False
 
     async def run(self) -> None:
-        """Follow the records until cancelled."""
+        """Follow the records until cancelled; run as a task."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(ORDER_POLL_INTERVAL_S)
             await self.follow()
 
     async def stop(self) -> None:
-        """Send no further order, and wait for the outcome of the one under way.
+        """Send no further order, and wait for the outcome of the current one.
 
         Notes
         -----
-        An order that is cut off stays without an outcome for ever, although the engine acted.
+        An order that is cancelled never gets an outcome, although the engine carried it out.
         """
         self._stopped = True
-        async with self._acting:
+        async with self._acting_lock:
             return
 
     async def follow(self) -> None:
-        """Act on every record that is due, one after the other."""
+        """Apply all records that are due, one after another."""
         records = [
             record
             for record in self.snapshot().placements.values()
@@ -163,26 +163,26 @@
         ]
         for record in records:
             key = _key(record)
-            pause = self._pauses.get(key)
-            if key in self._done or (pause is not None and self.clock.now() < pause.until):
+            backoff = self._backoffs.get(key)
+            if key in self._done or (backoff is not None and self.clock.now() < backoff.retry_at):
                 continue
-            async with self._acting:
+            async with self._acting_lock:
                 if self._stopped:
                     return
                 state = await self.runner.act(record, self.clock.wall, self.clock.now)
-            self._note(record, state)
+            self._record_state(record, state)
         in_force = {_key(record) for record in records}
-        self._pauses = {key: self._pauses[key] for key in in_force & self._pauses.keys()}
+        self._backoffs = {key: self._backoffs[key] for key in in_force & self._backoffs.keys()}
         await self.runner.turns.tend(self.clock.now())
 
-    def _note(self, record: PlacementRecord, state: OrderState) -> None:
+    def _record_state(self, record: PlacementRecord, state: OrderState) -> None:
         key = _key(record)
         if state is OrderState.DONE:
             log_event(Event.ORDER_DONE, record=record.name, order=record.order)
             self._done.add(key)
-            self._pauses.pop(key, None)
+            self._backoffs.pop(key, None)
             return
-        known = self._pauses.get(key)
-        length = min(LONGEST_PAUSE_S, 2 * known.length) if known else FIRST_PAUSE_S
-        until = self.clock.now() + length * self.rng.uniform(0.5, 1.0)
-        self._pauses[key] = _Pause(length, until)
+        last = self._backoffs.get(key)
+        delay_s = min(MAX_RETRY_DELAY_S, 2 * last.delay_s) if last else FIRST_RETRY_DELAY_S
+        retry_at = self.clock.now() + delay_s * self.rng.uniform(0.5, 1.0)
+        self._backoffs[key] = _Backoff(delay_s, retry_at)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
@@ -1,7 +1,7 @@
 """One authenticated connection between two processes.
 
-Each connection has a reader, which is the task that owns the connection, and a writer task. The
-rest of the process hands messages to :meth:`PeerConnection.post`, which never waits.
+Each connection has a reader, which is the task that owns the connection, and a writer task. Other
+code queues messages by :meth:`PeerConnection.post`, which never blocks.
 """
 
 from __future__ import annotations
@@ -38,17 +38,17 @@
 
 from ._events import Event, log_event
 
-DRAIN_LIMIT_S = 1.0
-"""Longest wait for a peer that does not read while the process stops, seconds."""
+DRAIN_TIMEOUT_S = 1.0
+"""Longest wait during a shutdown for a peer that does not read, seconds."""
 
 MAX_PENDING_BYTES = 32 << 20
-"""Bytes that may wait for one peer before the connection is given up."""
+"""Bytes that may be queued for one peer before its connection is aborted."""
 
 MAX_BATCH_BYTES = MAX_FRAME_BYTES // 2
-"""Payload after which a shared frame is sent without waiting for more."""
+"""Payload at which a batch of frames is sent without waiting for more, bytes."""
 
 HANDSHAKE_TIMEOUT_S = 5.0
-"""Longest handshake, seconds."""
+"""Limit on the duration of a handshake, seconds."""
 
 WEBSOCKET_OPTIONS = {
     "max_size": MAX_FRAME_BYTES,
@@ -56,26 +56,25 @@
     "ping_interval": None,
     "close_timeout": 1.0,
 }
-"""Options of both ends: no compression, since tokens are short; our own heartbeats, since they
-carry the revision."""
-
+"""Options of both ends: no compression, since tokens are short; no WebSocket pings, since the
+protocol has heartbeats of its own, which carry the revision."""
 
 HEARTBEAT_S = 2.0
 """Idle time of a connection after which a heartbeat is sent, seconds."""
 
 SILENCE_S = 6.5
-"""Silence after which a connection is given up, seconds."""
+"""Receive timeout after which a connection is aborted, seconds."""
 
 
 @attrs.frozen
 class Identity:
-    """Who a process is.
+    """Identity of a process.
 
     Parameters
     ----------
     vm, failure_domain : str
     incarnation : str
-        Drawn anew at each start.
+        Random value generated at each start.
     group : str
         Upstream group of a slot, empty for an entry.
     """
@@ -88,7 +87,7 @@
 
 @attrs.define
 class TrafficCounts:
-    """Messages and payload bytes of one connection, or of many added up."""
+    """Messages and payload bytes of one connection, or of several in total."""
 
     messages_sent: int = 0
     bytes_sent: int = 0
@@ -97,7 +96,7 @@
 
 
 class EncodedMessage:
-    """A message that goes to many peers and is encoded once.
+    """A message that is encoded once and sent to several peers.
 
     Parameters
     ----------
@@ -116,13 +115,13 @@
     ----------
     websocket : websockets connection
     peer : Identity
-        The other side, proved by the handshake.
+        Identity of the other side, as verified by the handshake.
     version : int
-        Agreed protocol version.
+        Negotiated protocol version.
     flush_interval_s : float
-        Shortest time between two messages with frames, unless they are full, seconds.
+        Shortest time between two batches of frames that are not full, seconds.
     traffic : TrafficCounts
-        Counters to add to.
+        Counters to update.
     """
 
     def __init__(
@@ -144,29 +143,29 @@
         self._urgent = asyncio.Event()
         self._closing = False
         self._flush_at = 0.0
-        self.traffic_mark_sent = 0
-        self.traffic_mark_received = 0
+        self.sent_count = 0
+        self.received_count = 0
 
     @property
     def closing(self) -> bool:
-        """Whether the connection takes no more messages."""
+        """Whether the connection accepts no more messages."""
         return self._closing
 
     def post(self, message: Any) -> None:
-        """Queue a message; after the connection closed it is dropped."""
+        """Queue a message; it is dropped if the connection is closing."""
         if self._closing or message.since > self.version:
             return
         self._pending.append(message)
         self._wake.set()
 
     def post_frame(self, frame: Frame) -> None:
-        """Queue a piece of an answer; it shares a message with others queued beside it."""
+        """Queue a part of an answer; frames that are queued together are sent as one message."""
         if self._closing:
             return
         self._pending.append(frame)
         self._pending_bytes += len(frame.data)
-        # A peer that reads too slowly would fill the memory of this process, and every other
-        # caller would notice. Giving up its connection ends only its own requests.
+        # A peer that reads too slowly would fill the memory of this process and so affect all
+        # callers. Aborting its connection ends only its own requests.
         if self._pending_bytes > MAX_PENDING_BYTES:
             self.abort()
         if frame.part == PART_END:
@@ -174,55 +173,55 @@
         self._wake.set()
 
     def keep_alive(self, interval_s: float, timeout_s: float, make_heartbeat: Callable) -> None:
-        """Send a heartbeat whenever the connection was idle, and give up a silent peer.
+        """Send heartbeats on an idle connection, and abort it if the peer sends nothing.
 
         Parameters
         ----------
         interval_s : float
             Idle time after which a heartbeat is sent, seconds.
         timeout_s : float
-            Silence of the peer after which the connection is closed, seconds.
+            Time without a message from the peer after which the connection is aborted, seconds.
         make_heartbeat : callable
             Returns the message to send.
 
         Notes
         -----
-        A peer whose VM vanished sends neither an answer nor a reset. Without the timeout its
-        requests would wait until their deadlines.
+        A peer whose VM disappeared sends neither an answer nor a TCP reset. Without the timeout
+        the requests at that peer would wait until their deadlines.
         """
         loop = asyncio.get_running_loop()
-        sent = self.traffic_mark_sent
-        received = self.traffic_mark_received
+        sent = self.sent_count
+        received = self.received_count
         last_received = loop.time()
 
         def tick() -> None:
             nonlocal sent, received, last_received
             if self._closing:
                 return
-            if self.traffic_mark_received != received:
-                received = self.traffic_mark_received
+            if self.received_count != received:
+                received = self.received_count
                 last_received = loop.time()
             elif loop.time() - last_received > timeout_s:
                 self.abort()
                 return
-            if self.traffic_mark_sent == sent:
+            if self.sent_count == sent:
                 self.post(make_heartbeat())
-            sent = self.traffic_mark_sent
+            sent = self.sent_count
             loop.call_later(interval_s, tick)
 
         loop.call_later(interval_s, tick)
 
     def abort(self) -> None:
-        """Cut the connection, without waiting for the peer."""
-        # A peer that does not read keeps the writer waiting and would never answer a close, so
-        # the transport is cut; the reader then sees the connection closed.
+        """Abort the connection without waiting for the peer."""
+        # A peer that does not read blocks the writer and would never answer a close frame, so the
+        # transport is aborted; the reader then finds the connection closed.
         self._closing = True
         self._wake.set()
         self.websocket.transport.abort()
 
     @asynccontextmanager
     async def writing(self) -> AsyncIterator[None]:
-        """Run the writer while the body runs."""
+        """Run the writer task during the ``async with`` block."""
         writer = asyncio.create_task(self.write())
         try:
             yield
@@ -230,20 +229,20 @@
             writer.cancel()
 
     async def write(self) -> None:
-        """Send what is queued until the connection closes; run as a task.
+        """Send queued messages until the connection closes; run as a task.
 
         Notes
         -----
-        A frame waits for others only if one was sent within the flush interval and no answer ends
-        with it, so that a lone answer is not delayed, while under load the messages a second
-        stay bounded.
+        A frame waits for others only if a message was sent within the flush interval and the frame
+        does not end an answer. So a single answer is not delayed, while under load the number of
+        messages per second stays bounded.
         """
         loop = asyncio.get_running_loop()
         try:
             while not self._closing:
                 await self._wake.wait()
-                if self._only_small_frames():
-                    await self._wait_for_others(self._flush_at - loop.time())
+                if self._only_frames_pending():
+                    await self._wait_for_batch(self._flush_at - loop.time())
                 self._wake.clear()
                 self._urgent.clear()
                 self._flush_at = loop.time() + self.flush_interval_s
@@ -259,12 +258,12 @@
         Raises
         ------
         ConnectionClosed
-            If the peer closed the connection, or it broke.
+            If the connection was closed or lost.
         """
         data = await self.websocket.recv()
         if isinstance(data, str):
             return Err(ProtocolFault(FaultKind.MALFORMED, "expected a binary frame, got text"))
-        self.traffic_mark_received += 1
+        self.received_count += 1
         self.traffic.messages_received += 1
         self.traffic.bytes_received += len(data)
         return decode(data, self.version)
@@ -274,19 +273,19 @@
         handlers: Mapping[type, Callable[[PeerConnection, Any], None]],
         count: Callable[[str], None],
     ) -> None:
-        """Hand each message to its handler, until the peer breaks the protocol.
+        """Pass each message to its handler, until the peer violates the protocol.
 
         Parameters
         ----------
         handlers : mapping of type to callable
-            Called with the connection and the message; another type is out of order.
+            Called with the connection and the message; a type without a handler is out of order.
         count : callable
             Called with the name of a counter.
 
         Raises
         ------
         ConnectionClosed
-            If the peer closed the connection, or it broke.
+            If the connection was closed or lost.
         """
         while True:
             received = await self.receive()
@@ -307,21 +306,21 @@
         await self.websocket.close(reason=reason[:100])
 
     async def drain(self) -> None:
-        """Send what is queued now, if the peer still takes it.
+        """Send what is queued now, if the peer still reads.
 
         Notes
         -----
-        When entry and slot stop together, the peer may have closed the connection already, or no
-        longer read. Neither may fail or hold up the shutdown: what follows it, such as closing
-        the listener, would be left out, and the process would end with an error.
+        When entry and slot stop together, the peer may have closed the connection already or may
+        no longer read. Neither may fail or delay the shutdown: the steps that follow, such as
+        closing the listener, would be skipped, and the process would end with an error.
         """
         try:
-            async with asyncio.timeout(DRAIN_LIMIT_S):
+            async with asyncio.timeout(DRAIN_TIMEOUT_S):
                 await self._send_pending()
         except (ConnectionClosed, TimeoutError):
             return
 
-    async def _wait_for_others(self, wait_s: float) -> None:
+    async def _wait_for_batch(self, wait_s: float) -> None:
         if wait_s <= 0:
             return
         try:
@@ -330,7 +329,7 @@
         except TimeoutError:
             return
 
-    def _only_small_frames(self) -> bool:
+    def _only_frames_pending(self) -> bool:
         return self._pending_bytes < MAX_BATCH_BYTES and all(
             isinstance(item, Frame) for item in self._pending
         )
@@ -339,7 +338,7 @@
         while self._pending:
             item = self._pending.popleft()
             data = self._encode(item)
-            self.traffic_mark_sent += 1
+            self.sent_count += 1
             self.traffic.messages_sent += 1
             self.traffic.bytes_sent += len(data)
             await self.websocket.send(data)
@@ -347,9 +346,9 @@
     def _encode(self, item: Any) -> bytes:
         if isinstance(item, EncodedMessage):
             return item.data
-        return encode(self._gather_frames(item) if isinstance(item, Frame) else item)
+        return encode(self._batch_frames(item) if isinstance(item, Frame) else item)
 
-    def _gather_frames(self, first: Frame) -> Frames:
+    def _batch_frames(self, first: Frame) -> Frames:
         frames = [first]
         size = len(first.data)
         while self._pending and size < MAX_BATCH_BYTES and isinstance(self._pending[0], Frame):
@@ -369,13 +368,13 @@
 
 
 def report_fault(fault: ProtocolFault, vm: str, count: Callable[[str], None]) -> None:
-    """Log and count bytes of a peer that are no message."""
+    """Log and count bytes of a peer that cannot be decoded as a message."""
     log_event(_FAULT_EVENTS[fault.kind], vm=vm, detail=fault.detail)
     count(f"peer.fault.{fault.kind.value}")
 
 
 def report_out_of_order(message: Any, vm: str, count: Callable[[str], None]) -> None:
-    """Log and count a message that its sender must not send at this point."""
+    """Log and count a message that is not allowed at this point of the protocol."""
     log_event(Event.PEER_OUT_OF_ORDER, vm=vm, detail=type(message).__name__)
     count("peer.fault.out_of_order")
 
@@ -383,21 +382,21 @@
 async def greet_peer(
     websocket: Any, identity: Identity, key: bytes, traffic: TrafficCounts
 ) -> Result[PeerConnection, str]:
-    """Carry out the handshake of the process that opened the connection.
+    """Run the handshake as the process that opened the connection.
 
     Parameters
     ----------
     websocket : websockets connection
     identity : Identity
-        Of this process.
+        Identity of this process.
     key : bytes
-        Shared key.
+        Shared key of all processes.
     traffic : TrafficCounts
 
     Returns
     -------
     Result of PeerConnection, str
-        The reason for the refusal in case of an error.
+        The connection, or the reason why the handshake was refused.
     """
     nonce = secrets.token_bytes(NONCE_BYTES)
     hello = Hello(
@@ -417,7 +416,7 @@
     if not check_proof(
         answer.proof, key, "slot", answer.vm, answer.incarnation, answer.nonce, nonce
     ):
-        return Err("the peer's proof is wrong: its peer key differs")
+        return Err("the peer's proof is invalid: its peer key differs")
     proof = make_proof(key, "entry", identity.vm, identity.incarnation, nonce, answer.nonce)
     await websocket.send(encode(Proof(proof)))
     peer = Identity(answer.vm, answer.failure_domain, answer.incarnation, answer.group)
@@ -431,7 +430,7 @@
     flush_interval_s: float,
     traffic: TrafficCounts,
 ) -> Result[PeerConnection, str]:
-    """Carry out the handshake of the process that was connected to; see :func:`greet_peer`."""
+    """Run the handshake as the process that accepted the connection; see :func:`greet_peer`."""
     received = await _receive_one(websocket, Hello)
     if isinstance(received, Err):
         return received
@@ -460,7 +459,7 @@
     if not check_proof(
         received.ok().proof, key, "entry", hello.vm, hello.incarnation, hello.nonce, nonce
     ):
-        return Err("the peer's proof is wrong: its peer key differs")
+        return Err("the peer's proof is invalid: its peer key differs")
     peer = Identity(hello.vm, hello.failure_domain, hello.incarnation)
     return Ok(PeerConnection(websocket, peer, version, flush_interval_s, traffic))
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/_peer_server.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_peer_server.py
@@ -1,4 +1,4 @@
-"""The processes that connect to this one: one task owns each connection."""
+"""Server for connections from other processes; one task owns each connection."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 
 
 class PeerServer:
-    """Accepts processes and hands their messages on.
+    """Accepts connections from other processes and dispatches their messages.
 
     Parameters
     ----------
     identity : Identity
-        Of this process.
+        Identity of this process.
     key : bytes
-        Shared key.
+        Shared key of all processes.
     flush_interval_s : float
         See :class:`PeerConnection`.
     traffic : TrafficCounts
     count : callable
         Called with the name of a counter.
     handlers : mapping of type to callable
-        What to do with each message that a peer may send.
+        Handler of each message type that a peer may send.
     on_up, on_down : callable
-        Called with a connection when it is ready, and after it was lost.
+        Called with a connection after its handshake, and after it was closed or lost.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
 
     @property
     def port(self) -> int:
-        """Port where peers connect."""
+        """Port that accepts peers."""
         return self._server.sockets[0].getsockname()[1]
 
     def all(self) -> list[PeerConnection]:
@@ -81,59 +81,59 @@
         return self._connections.get(incarnation)
 
     async def listen(self, bound: socket.socket) -> None:
-        """Accept peers at a socket, which this server closes in the end.
+        """Accept peers on a socket, which :meth:`close` closes.
 
         Raises
         ------
         OSError
-            If another socket listens there.
+            If another socket listens on the address.
         """
         self._server = await serve(self._serve, sock=bound, **WEBSOCKET_OPTIONS)
 
     async def close(self) -> None:
-        """Say goodbye and close all connections."""
+        """Send a goodbye to all peers, and close the connections and the socket."""
         peers = self.all()
         for peer in peers:
             peer.post(Goodbye("shutdown"))
         await asyncio.gather(*(peer.drain() for peer in peers))
         if self._server is None:
-            # A process may be stopped while it starts, before it listens.
+            # The process was stopped during its start, before it listened.
             return
         self._server.close()
         await self._server.wait_closed()
 
     async def _serve(self, websocket: Any) -> None:
-        """Own one connection: handshake, then one message after another until it closes."""
-        greeted = await accept_peer(
+        """Handle one connection: the handshake, then its messages until it closes."""
+        handshake = await accept_peer(
             websocket, self.identity, self.key, self.flush_interval_s, self.traffic
         )
-        if isinstance(greeted, Err):
-            log_event(Event.HANDSHAKE_REFUSED, reason=greeted.err())
+        if isinstance(handshake, Err):
+            log_event(Event.HANDSHAKE_REFUSED, reason=handshake.err())
             self.count("peer.handshake_refused")
             await websocket.close(code=1008, reason="handshake refused")
             return
-        peer = greeted.ok()
+        peer = handshake.ok()
         async with peer.writing():
             try:
-                await self._come_up(peer)
+                await self._on_connected(peer)
                 await peer.read_messages(self.handlers, self.count)
             except ConnectionClosed:
                 pass
             finally:
-                await self._go_down(peer)
+                await self._on_disconnected(peer)
 
-    async def _come_up(self, peer: PeerConnection) -> None:
+    async def _on_connected(self, peer: PeerConnection) -> None:
         name = peer.peer.incarnation
-        older = self._connections.get(name)
-        if older is not None:
-            # The peer came back before this side noticed that its old connection had broken.
-            await older.close("replaced by a newer connection")
-            self.on_down(older)
+        old = self._connections.get(name)
+        if old is not None:
+            # The peer reconnected before this side noticed the loss of the old connection.
+            await old.close("replaced by a newer connection")
+            self.on_down(old)
         self._connections[name] = peer
         log_event(Event.PEER_CONNECTED, vm=peer.peer.vm, incarnation=name)
         self.on_up(peer)
 
-    async def _go_down(self, peer: PeerConnection) -> None:
+    async def _on_disconnected(self, peer: PeerConnection) -> None:
         name = peer.peer.incarnation
         await peer.close("")
         if self._connections.get(name) is peer:
--- a/packages/burdockquay-transport/src/burdockquay_transport/_platform.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_platform.py
@@ -1,4 +1,4 @@
-"""Opens the platform's services with the adapters that the settings name."""
+"""Opens the platform's services with the adapters named in the settings."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from ._settings import PlatformSettings
 
 _CONNECTIONS = 16
-"""Connections to the platform that one process keeps at most."""
+"""Limit on the connections of one process to the platform."""
 
 
 @attrs.frozen
 class Platform:
-    """The platform's services.
+    """Adapters of the platform's services.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
     Raises
     ------
     UnknownNameError
-        If no adapter has a name that the settings give.
+        If an adapter named in the settings is not registered.
     """
     table = table_services.get(settings.table)
     objects = object_stores.get(settings.objects)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_platform_http.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_platform_http.py
@@ -1,6 +1,6 @@
-"""Adapters that reach the platform's table service, object store and VM list over HTTP.
+"""Adapters for the platform's table service, object store and VM list over HTTP.
 
-The conversation is JSON over plain HTTP:
+The protocol is JSON over plain HTTP:
 
 * ``POST {table}/table/get``: ``{"keys": [...]}`` gives ``{"rows": [row or null, ...]}``;
 * ``POST {table}/table/scan``: ``{"prefix", "after", "limit"}`` gives ``{"rows": [row, ...]}``;
@@ -10,11 +10,11 @@
 * ``PUT`` and ``GET {objects}/objects/{digest}``: the content itself;
 * ``GET {vms}/vms``: ``{"vms": [entry, ...]}``.
 
-A row is ``{"key", "value", "version"}``; values travel in base 64. Status 400 says that the call is
-malformed, 503 that it was certainly not carried out.
+A row is ``{"key", "value", "version"}``; values are encoded in base 64. Status 400 means that the
+call is malformed, 503 that it was certainly not carried out.
 
-The header ``Table-Era`` of an answer counts the returns of the table from a copy; without it the
-era is 0. An expected version holds only in the ``era`` beside it.
+The header ``Table-Era`` of an answer counts the restores of the table from a copy; without it the
+era is 0. An expected version is valid only in the ``era`` given with it.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 T = TypeVar("T")
 
 MAX_ANSWER_BYTES = 1 << 24
-"""Longest answer of a platform service that is read, bytes."""
+"""Limit on the length of an answer of a platform service, bytes."""
 
 ERA_HEADER = "Table-Era"
 
@@ -75,7 +75,7 @@
 
 
 class _MalformedError(Exception):
-    """An answer that is not what the service should send."""
+    """An answer of a service violates the protocol."""
 
 
 @attrs.frozen
@@ -94,9 +94,9 @@
     ----------
     url : str
     timeout_s : float
-        Limit on a whole call, seconds.
+        Timeout of a complete call, seconds.
     session : aiohttp.ClientSession
-        Shared with the other users of the process.
+        Shared with the other adapters of the process.
     """
 
     url: str
@@ -108,7 +108,7 @@
         method: str,
         path: str,
         content: bytes | None,
-        lost: TableErrorKind,
+        unanswered_kind: TableErrorKind,
         known_etag: str = "",
     ) -> Result[_Reply, TableError]:
         """Send one request and return the reply.
@@ -117,15 +117,15 @@
         ----------
         method, path : str
         content : bytes or None
-        lost : TableErrorKind
-            The error if the request may have arrived and no reply came.
+        unanswered_kind : TableErrorKind
+            Kind of the error if the request may have arrived and there was no valid reply.
         known_etag : str
-            Entity tag of the content that is known already; status 304 says that it still holds.
+            Entity tag of the last received content; status 304 means that it is unchanged.
 
         Notes
         -----
-        The client library sends PUT and GET again by itself if a reused connection breaks, but
-        never POST, which carries every transaction. An object put again is harmless, since its
+        The client library retries PUT and GET by itself if a reused connection is lost, but never
+        POST, which is used for every transaction. Putting an object twice is harmless, since its
         name is the digest of its content.
         """
         timeout = aiohttp.ClientTimeout(total=self.timeout_s)
@@ -140,22 +140,22 @@
             ) as response:
                 etag = response.headers.get("ETag", "")
                 era = _read_era(response)
-                return Ok(_Reply(response.status, await _read(response), etag, era))
+                return Ok(_Reply(response.status, await _read_content(response), etag, era))
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            # Nothing was sent: no connection came about.
-            return _fail(TableErrorKind.UNAVAILABLE, error)
+            # Nothing was sent: no connection was established.
+            return _make_error(TableErrorKind.UNAVAILABLE, error)
         except (TimeoutError, aiohttp.ClientError, OSError, _MalformedError) as error:
-            return _fail(lost, error)
+            return _make_error(unanswered_kind, error)
 
 
 class _HttpAdapter:
-    """What the three adapters have in common.
+    """Base class of the HTTP adapters.
 
     Parameters
     ----------
     url : str
     timeout_s : float
-        Limit on a call, seconds.
+        Timeout of a call, seconds.
     session : aiohttp.ClientSession
     """
 
@@ -176,57 +176,61 @@
 
     @property
     def era(self) -> int:
-        """The latest era that an answer has named."""
+        """Highest era that an answer has reported."""
         return self._era
 
     async def get(self, keys: Sequence[str]) -> Result[list[Row | None], TableError]:
         """Return the row under each key, None where there is none."""
 
         def read(answer: Any, era: int) -> list[Row | None]:
-            rows = _list(answer, "rows", keys)
+            rows = _read_list(answer, "rows", keys)
             return [None if row is None else _read_row(row, era) for row in rows]
 
-        return await self._ask("/table/get", {"keys": list(keys)}, TableErrorKind.UNAVAILABLE, read)
+        return await self._request(
+            "/table/get", {"keys": list(keys)}, TableErrorKind.UNAVAILABLE, read
+        )
 
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[list[Row], TableError]:
-        """Return up to ``limit`` rows under ``prefix`` whose keys sort behind ``after``."""
-        question = {"prefix": prefix, "after": after, "limit": limit}
-        return await self._ask(
+        """Return up to ``limit`` rows under ``prefix`` whose keys sort after ``after``."""
+        request = {"prefix": prefix, "after": after, "limit": limit}
+        return await self._request(
             "/table/scan",
-            question,
+            request,
             TableErrorKind.UNAVAILABLE,
-            lambda answer, era: [_read_row(row, era) for row in _list(answer, "rows")],
+            lambda answer, era: [_read_row(row, era) for row in _read_list(answer, "rows")],
         )
 
     async def transact(
         self, operations: Sequence[Operation]
     ) -> Result[list[int | None], TableError]:
-        """Carry out all operations or none; ``UNCERTAIN`` if no reply came."""
+        """Carry out all operations or none; ``UNCERTAIN`` if there was no valid reply."""
 
         def read(answer: Any, era: int) -> list[int | None]:
-            versions = _list(answer, "versions", operations)
+            versions = _read_list(answer, "versions", operations)
             return [None if number is None else _read_version(number, era) for number in versions]
 
-        question = {"operations": [_write_operation(operation) for operation in operations]}
-        return await self._ask("/table/transact", question, TableErrorKind.UNCERTAIN, read)
+        request = {"operations": [_write_operation(operation) for operation in operations]}
+        return await self._request("/table/transact", request, TableErrorKind.UNCERTAIN, read)
 
-    async def _ask(
+    async def _request(
         self,
         path: str,
-        question: dict[str, Any],
-        lost: TableErrorKind,
+        request: dict[str, Any],
+        unanswered_kind: TableErrorKind,
         read: Callable[[Any, int], T],
     ) -> Result[T, TableError]:
-        """Post a question in JSON and return the answer as ``read`` understands it in its era."""
-        asked = await self._client.call("POST", path, json.dumps(question).encode(), lost)
-        if asked.is_err():
-            return asked
-        reply = asked.ok()
-        # An answer of an earlier era may arrive behind one of a later.
+        """Post a JSON request and return the answer as parsed by ``read`` with its era."""
+        called = await self._client.call(
+            "POST", path, json.dumps(request).encode(), unanswered_kind
+        )
+        if called.is_err():
+            return called
+        reply = called.ok()
+        # An answer of an earlier era may arrive after one of a later era.
         self._era = max(self._era, reply.era)
-        return _interpret(reply, lost, lambda answer: read(answer, reply.era))
+        return _interpret(reply, unanswered_kind, lambda answer: read(answer, reply.era))
 
 
 @object_stores.register("http")
@@ -261,8 +265,8 @@
 
     Notes
     -----
-    The list is read every second and seldom changes. A server that gives an entity tag sends it
-    only after a change; where it gives none, equal content is not parsed again.
+    The list is read every second and rarely changes. A server that sends entity tags sends the list
+    only after a change; without entity tags, unchanged content is not parsed again.
     """
 
     def __init__(self, url: str, timeout_s: float, session: aiohttp.ClientSession):
@@ -273,7 +277,7 @@
         self._entries: list[VmEntry] = []
 
     async def list(self) -> Result[list[VmEntry], TableError]:
-        """Return the entries that are well formed; the others are left out with an event."""
+        """Return the well-formed entries; the others are ignored and logged."""
         answer = await self._client.call(
             "GET", "/vms", None, TableErrorKind.UNAVAILABLE, self._etag
         )
@@ -281,7 +285,7 @@
             return answer
         reply = answer.ok()
         digest = hashlib.sha256(reply.content).digest()
-        if self._is_known(reply, digest):
+        if self._is_unchanged(reply, digest):
             return Ok(list(self._entries))
         read = _interpret(reply, TableErrorKind.UNAVAILABLE, self._read_entries)
         if read.is_ok():
@@ -289,23 +293,23 @@
             self._entries = list(read.ok())
         return read
 
-    def _is_known(self, reply: _Reply, digest: bytes) -> bool:
+    def _is_unchanged(self, reply: _Reply, digest: bytes) -> bool:
         if not self._digest:
             return False
         return reply.status == 304 or (reply.status, digest) == (200, self._digest)
 
     def _read_entries(self, answer: Any) -> list[VmEntry]:
-        results = [_read_entry(item) for item in _list(answer, "vms")]
+        results = [_read_entry(item) for item in _read_list(answer, "vms")]
         faults = {result.err() for result in results if result.is_err()}
-        # The list is read every second: a line each time would drown the log.
+        # The list is read every second: a line each time would flood the log.
         for fault in sorted(faults - self._reported):
             log_event(Event.VM_ENTRY_FAULT, fault=fault)
         self._reported = faults
         return [result.ok() for result in results if result.is_ok()]
 
 
-async def _read(response: aiohttp.ClientResponse) -> bytes:
-    # A service gone wrong could otherwise fill the memory of every process that asks it.
+async def _read_content(response: aiohttp.ClientResponse) -> bytes:
+    # A faulty service could otherwise fill the memory of every process that calls it.
     content = bytearray()
     async for chunk in response.content.iter_chunked(1 << 16):
         content += chunk
@@ -315,29 +319,29 @@
 
 
 def _interpret(
-    reply: _Reply, lost: TableErrorKind, read: Callable[[Any], T]
+    reply: _Reply, unanswered_kind: TableErrorKind, read: Callable[[Any], T]
 ) -> Result[T, TableError]:
     try:
         if reply.status == 409:
-            conflicts = _list(_parse(reply.content), "conflicts")
-            positions = tuple(_int(position) for position in conflicts)
+            conflicts = _read_list(_parse(reply.content), "conflicts")
+            positions = tuple(_read_int(position) for position in conflicts)
             return Err(TableError(TableErrorKind.CONFLICT, "condition not met", positions))
-        checked = _check_status(reply, lost)
+        checked = _check_status(reply, unanswered_kind)
         return checked if checked.is_err() else Ok(read(_parse(reply.content)))
     except _MalformedError as error:
-        return _fail(lost, error)
+        return _make_error(unanswered_kind, error)
 
 
-def _check_status(reply: _Reply, lost: TableErrorKind) -> Result[_Reply, TableError]:
+def _check_status(reply: _Reply, unanswered_kind: TableErrorKind) -> Result[_Reply, TableError]:
     if 200 <= reply.status < 300:
         return Ok(reply)
-    # A status that the conversation does not provide for says nothing of what was done.
-    kind = _KIND_BY_STATUS.get(reply.status, lost)
-    words = reply.content[:200].decode(errors="replace")
-    return Err(TableError(kind, f"status {reply.status}: {words}"))
+    # A status that the protocol does not define does not show whether the call was carried out.
+    kind = _KIND_BY_STATUS.get(reply.status, unanswered_kind)
+    text = reply.content[:200].decode(errors="replace")
+    return Err(TableError(kind, f"status {reply.status}: {text}"))
 
 
-def _fail(kind: TableErrorKind, error: BaseException) -> Err[TableError]:
+def _make_error(kind: TableErrorKind, error: BaseException) -> Err[TableError]:
     return Err(TableError(kind, f"{type(error).__name__}: {error}"))
 
 
@@ -348,17 +352,17 @@
         raise _MalformedError(f"expected JSON: {error}") from error
 
 
-def _list(answer: Any, name: str, asked: Sequence[Any] | None = None) -> list[Any]:
-    """Return the list ``name`` of an answer, as long as what was asked for."""
+def _read_list(answer: Any, name: str, requested: Sequence[Any] | None = None) -> list[Any]:
+    """Return the list ``name`` of an answer, which must be as long as ``requested``, if given."""
     items = answer.get(name) if isinstance(answer, dict) else None
     if not isinstance(items, list):
         raise _MalformedError(f"expected an object with a list {name!r}, got {str(answer)[:100]}")
-    if asked is not None and len(items) != len(asked):
-        raise _MalformedError(f"expected {len(asked)} items in {name!r}, got {len(items)}")
+    if requested is not None and len(items) != len(requested):
+        raise _MalformedError(f"expected {len(requested)} items in {name!r}, got {len(items)}")
     return items
 
 
-def _int(value: Any) -> int:
+def _read_int(value: Any) -> int:
     if type(value) is not int:
         raise _MalformedError(f"expected an integer, got {value!r}")
     return value
@@ -372,7 +376,7 @@
 
 
 def _read_version(number: Any, era: int) -> int:
-    return make_version(era, _int(number))
+    return make_version(era, _read_int(number))
 
 
 def _read_row(row: Any, era: int) -> Row:
@@ -411,16 +415,16 @@
 }
 
 
-def _share(value: Any) -> Any:
-    # Thousands of entries name a few groups and failure domains; the parser makes a new string
-    # for each.
+def _intern(value: Any) -> Any:
+    # Thousands of entries contain the same few groups and failure domains; the parser creates a new
+    # string for each occurrence.
     return sys.intern(value) if type(value) is str else value
 
 
 def _read_entry(item: Any) -> Result[VmEntry, str]:
     try:
-        # Fields that we do not know are the platform's own affair.
-        known = {name: _share(item[name]) for name in _VM_CONSTRAINTS if name in item}
+        # Unknown fields are ignored; they are for the platform's own use.
+        known = {name: _intern(item[name]) for name in _VM_CONSTRAINTS if name in item}
         entry = VmEntry(**{**known, "state": VmState(known.get("state", VmState.LIVE.value))})
     except (TypeError, ValueError) as error:
         return Err(f"expected an entry of the VM list, got {str(item)[:100]}: {error}")
--- a/packages/burdockquay-transport/src/burdockquay_transport/_process.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_process.py
@@ -1,4 +1,4 @@
-"""What both roles have in common: identity, platform, configuration, tasks and shutdown."""
+"""Base class of entry and slot: identity, platform, configuration, tasks and shutdown."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 class Process(ABC):
-    """One process of either role.
+    """Base class of an entry or slot process.
 
     Parameters
     ----------
     settings : EntrySettings or SlotSettings
     clock : Clock or None
-        None takes the clocks of the operating system.
+        None uses the clocks of the operating system.
     rng : random.Random or None
-        Placement and jitter; None seeds one from the operating system.
+        For placement and jitter; None seeds one from the operating system.
     known_schemas : collection of (str, int) or None
-        Record schemas that the process acts on; None for all of this release.
+        Record schemas that the process supports; None for all of this release.
     """
 
     role: ClassVar[str]
@@ -59,21 +59,21 @@
 
     @property
     def snapshot(self) -> Snapshot:
-        """The configuration in force."""
+        """Configuration in force."""
         return self._holder.snapshot
 
     @property
     @abstractmethod
     def port(self) -> int:
-        """Port where others connect."""
+        """Port that accepts connections."""
 
     @property
     @abstractmethod
     def ready(self) -> bool:
-        """Whether the process can do its work."""
+        """Whether the process can serve requests."""
 
     async def start(self) -> None:
-        """Listen, and begin to follow the configuration.
+        """Start listening, and start the background tasks.
 
         Raises
         ------
@@ -87,54 +87,54 @@
             self._sync.run(),
             keep_flushing(self.metrics),
             self.suspicions.load(),
-            self._tell_when_ready(),
+            self._log_when_ready(),
         )
-        for work in (*common, *self._duties()):
+        for work in (*common, *self._background_coroutines()):
             self._tasks.spawn(work)
         log_event(Event.PROCESS_LISTENING, role=self.role, vm=self.settings.vm, port=self.port)
 
     async def stop(self, late_s: float = 0.0) -> None:
-        """Shut down gracefully: take no new work, finish what runs, then close.
+        """Shut down gracefully: accept no new work, finish running work, then close.
 
         Parameters
         ----------
         late_s : float
-            Time since the process was told to stop, seconds.
+            Time since the process received the stop signal, seconds.
 
         Notes
         -----
-        What still runs at ``stop_limit_s`` is cut, and its callers are told that it broke off.
+        Requests that still run at ``stop_limit_s`` are aborted, and their callers get an error.
         """
         log_event(Event.PROCESS_STOPPING, role=self.role, held=self._held())
         self._leaving = True
-        self._leaving_began()
+        self._on_leaving()
         try:
             async with asyncio.timeout(max(0.0, self.settings.stop_limit_s - late_s)):
                 await self._finish_all()
         except TimeoutError:
             log_event(Event.STOP_LIMIT_REACHED, held=self._held())
-            await self._cut_all("the limit of the shutdown was reached")
+            await self._abort_all("the limit of the shutdown was reached")
         await self.close()
         log_event(Event.PROCESS_STOPPED, role=self.role)
 
     def reload(self, settings: Any) -> Any:
-        """Take over what can change while the process runs, which is nothing here.
+        """Apply settings that can change at run time; there are none in this base class.
 
         Returns
         -------
         EntrySettings or SlotSettings
-            The settings in force.
+            Settings in force.
         """
         return self.settings
 
     async def abort(self) -> None:
-        """Stop at once; what runs is cut, and its callers are told that it broke off."""
+        """Stop at once; running requests are aborted, and their callers get an error."""
         self._leaving = True
-        await self._cut_all("the process was told to end at once")
+        await self._abort_all("the process is stopping immediately")
         await self.close()
 
     async def close(self) -> None:
-        """Close all at once."""
+        """Close all resources without draining."""
         await self._close_parts()
         await self._tasks.close()
         await self._platform.close()
@@ -170,14 +170,14 @@
             self._platform.table, self._clock, self._rng, self._connected_peers
         )
 
-    async def _tell_when_ready(self) -> None:
+    async def _log_when_ready(self) -> None:
         async for _ in ticks(self._clock, lambda: False):
             if self.ready:
                 log_event(Event.PROCESS_READY, role=self.role, vm=self.settings.vm)
                 return
 
     def _describe_common(self) -> dict[str, Any]:
-        """Return the part of ``/status`` that both roles show."""
+        """Return the part of ``/status`` that both roles have."""
         return {
             "vm": self.identity.vm,
             "role": self.role,
@@ -191,23 +191,23 @@
 
     @abstractmethod
     def _open_parts(self) -> None:
-        """Make what only this role has."""
+        """Create the components of this role."""
 
     @abstractmethod
     async def _listen(self) -> None:
-        """Open the servers."""
+        """Start the servers."""
 
     @abstractmethod
-    def _duties(self) -> Collection[Coroutine]:
-        """Return what runs as tasks until the process closes."""
+    def _background_coroutines(self) -> Collection[Coroutine]:
+        """Return the coroutines to run as tasks until the process closes."""
 
     @abstractmethod
     def _reconfigure(self) -> None:
-        """Take over the configuration in force."""
+        """Apply the configuration in force."""
 
     @abstractmethod
     def _count_processes(self) -> int:
-        """Return how many processes share the budget of reads of the table."""
+        """Return how many processes share the read budget of the table."""
 
     @abstractmethod
     def _connected_peers(self) -> list[PeerConnection]:
@@ -215,20 +215,20 @@
 
     @abstractmethod
     def _held(self) -> int:
-        """Return how many requests are not finished."""
+        """Return the number of unfinished requests."""
 
     @abstractmethod
-    def _leaving_began(self) -> None:
-        """Tell others that no new work is taken."""
+    def _on_leaving(self) -> None:
+        """Announce that no new work is accepted."""
 
     @abstractmethod
     async def _finish_all(self) -> None:
-        """Wait until nothing is held."""
+        """Wait until all requests are finished."""
 
     @abstractmethod
-    async def _cut_all(self, reason: str) -> None:
-        """End what still runs, and tell the truth about it."""
+    async def _abort_all(self, reason: str) -> None:
+        """Abort what still runs, and report whether it may have run."""
 
     @abstractmethod
     async def _close_parts(self) -> None:
-        """Close what only this role has."""
+        """Close the components of this role."""
--- a/packages/burdockquay-transport/src/burdockquay_transport/_service_client.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_service_client.py
@@ -1,4 +1,4 @@
-"""Client of plain services: one request, one answer, passed on unchanged."""
+"""Client of plain services: one request and one answer, forwarded unchanged."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 
 _PASSED_HEADERS = ("content-type", "location", "etag", "cache-control", "retry-after")
-"""Headers of an answer that callers get."""
+"""Headers of an answer that are forwarded to callers."""
 
 
 @upstream_clients.register("service")
@@ -52,7 +52,7 @@
         headers["X-Request-Id"] = run.request
         if run.key:
             headers["Idempotency-Key"] = run.key
-        return self.sessions.fresh.request(
+        return self.sessions.unpooled.request(
             run.method,
             self.url + run.path,
             data=run.body or None,
@@ -64,7 +64,7 @@
     async def probe(self) -> bool:
         """Return whether the service answers ``GET /healthz`` without a server error."""
         try:
-            async with self.sessions.kept.get(
+            async with self.sessions.pooled.get(
                 self.url + "/healthz", timeout=PROBE_TIMEOUT
             ) as response:
                 return response.status < 500
--- a/packages/burdockquay-transport/src/burdockquay_transport/_settings.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the two roles, as attrs classes with declared constraints."""
+"""Settings of entry and slot, as attrs classes with declared constraints."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform's services are, and which adapters speak to them.
+    """Addresses of the platform's services, and the adapters to use for them.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
         Names of registered adapters.
     table_url, objects_url, vms_url : str
     timeout_s : float
-        Limit on one call, seconds.
+        Timeout of one call, seconds.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class MetricsSettings:
-    """Where metrics go.
+    """Destination of metrics.
 
     Parameters
     ----------
@@ -86,17 +86,17 @@
 
 @attrs.frozen
 class _ProcessSettings:
-    """What both roles have in common.
+    """Settings that both roles have in common.
 
     Parameters
     ----------
     vm, failure_domain : str
-        Identity of the process; a replaced VM has another name.
+        Identity of the process; the replacement of a VM gets a new name.
     peer_key : str
         Shared key of all processes, at least 32 hexadecimal digits.
     platform : PlatformSettings
     host, port
-        Where the process listens; port 0 takes a free one.
+        Address where the process listens; port 0 picks a free port.
     log_level : str
     metrics : MetricsSettings
     stop_limit_s : float
@@ -104,7 +104,8 @@
     poll_interval_s : float
         Mean time between two reads of the head revision from the table, seconds.
     table_read_budget : float
-        Reads of the head revision a second by all processes together; stretches the interval.
+        Limit on the reads of the head revision by all processes together, per second; many
+        processes read at longer intervals.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -141,14 +142,14 @@
     Parameters
     ----------
     max_body_bytes : int
-        Largest request body.
+        Largest request body, bytes.
     default_deadline_s, max_deadline_s : float
-        Deadline of a request that names none, and the longest one may name, seconds.
+        Deadline of a request that specifies none, and the longest allowed deadline, seconds.
     vm_list_interval_s : float
         Time between two reads of the VM list, seconds.
     leave_delay_s : float
-        How long a leaving entry still takes requests while its readiness is off, seconds: as long
-        as the balancer needs to notice.
+        How long a draining entry accepts requests while ``/readyz`` reports it as not ready,
+        seconds: the time that the load balancer needs to notice.
     seed_slots : list of str
         Addresses of slots to connect to while the VM list cannot be read.
     """
@@ -178,22 +179,23 @@
     Parameters
     ----------
     group : str
-        Upstream group record that the upstream belongs to.
+        Name of the upstream group of the upstream.
     upstream_url : str
     status_port : int
-        Where health, readiness and status are answered.
+        Port of the health, readiness and status pages.
     flush_interval_s : float
-        Longest time a piece of an answer waits for others to share a frame, seconds.
+        Longest time that a part of an answer waits for others to share a message, seconds.
     status_interval_s : float
         Shortest time between two status messages, seconds.
     probe_interval_s : float
-        Time between two probes of an upstream that failed, seconds.
+        Time between two probes of an unhealthy upstream, seconds.
     claim_retention_s : float
-        How long the outcome of an idempotency key is kept, seconds.
+        Retention time of the outcome of an idempotency key, seconds.
     load_turns : int
-        Engines that read from the weight store at a time, over all VMs; the same everywhere.
+        Number of engines that may read from the weight store at a time, over all VMs; must be the
+        same everywhere.
     load_turn_s : float
-        Shortest time that one of them counts as reading, seconds.
+        Shortest time for which such an engine counts as reading, seconds.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
--- a/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
@@ -44,19 +44,19 @@
 
 
 class LinkListener:
-    """What a link tells the entry; the entry implements it."""
+    """Callbacks of a :class:`SlotLink`, implemented by the entry."""
 
     def link_up(self, link: SlotLink) -> None:
-        """The handshake is done."""
+        """Handle a completed handshake."""
 
     def link_status(self, link: SlotLink) -> None:
-        """A status message came."""
+        """Handle a status message."""
 
     def link_grant(self, link: SlotLink, grant: Grant) -> None:
-        """A place was promised."""
+        """Handle a grant."""
 
     def link_suspicions(self, link: SlotLink, message: Suspicions) -> None:
-        """Suspicions came."""
+        """Handle received suspicions."""
 
 
 class SlotLink:
@@ -65,11 +65,11 @@
     Parameters
     ----------
     target : VmEntry
-        Where the slot listens.
+        Address and identity of the slot.
     identity : Identity
-        Of this entry.
+        Identity of this entry.
     key : bytes
-        Shared key.
+        Shared key of all processes.
     book : MembershipBook
     sync : ConfigurationSync
     listener : LinkListener
@@ -105,8 +105,8 @@
         self.count = count
         self.connection: PeerConnection | None = None
         self.status: SlotStatus | None = None
-        self.told_demand: dict[str, int] = {}
-        self.full_for: set[str] = set()
+        self.sent_demand: dict[str, int] = {}
+        self.full_classes: set[str] = set()
         self._unreachable = False
         self._status_at = 0.0
         self._outstanding_at_status = 0
@@ -125,17 +125,17 @@
 
     @property
     def takes_work(self) -> bool:
-        """Whether the slot, by its own word, takes new work."""
+        """Whether the slot reports that it accepts new work."""
         status = self.status
         return self.connected and status is not None and status.healthy and not status.leaving
 
     @property
     def outstanding(self) -> int:
-        """Attempts of this entry there."""
+        """Number of attempts of this entry at the slot."""
         return len(self._attempts)
 
     def describe_candidate(self, weight: float, prefix_overlap: int, now: float) -> Candidate:
-        """Return what placement policies want to know of the slot."""
+        """Return the slot as a candidate for the placement policies."""
         status = self.status
         return Candidate(
             self.vm,
@@ -151,7 +151,7 @@
         )
 
     def estimate_load(self) -> int:
-        """Return how many places are taken there: as reported, plus what this entry sent since."""
+        """Return the number of places in use: as last reported, plus attempts sent since then."""
         reported = self.status.running + self.status.queued
         return max(self.outstanding, reported + self.outstanding - self._outstanding_at_status)
 
@@ -161,13 +161,13 @@
         self._attempts[call.attempt_key] = call
         self.connection.post(run)
 
-    def give_up(self, call: Call) -> None:
-        """Cancel the live attempt of a call; what it still sends is dropped."""
+    def cancel_attempt(self, call: Call) -> None:
+        """Cancel the current attempt of a call; its further messages are dropped."""
         if self._attempts.pop(call.attempt_key, None) is not None and self.connected:
             self.connection.post(Cancel(*call.attempt_key))
 
-    def end(self, call: Call) -> None:
-        """Forget an attempt that has come to its end."""
+    def remove_attempt(self, call: Call) -> None:
+        """Remove an attempt that has ended."""
         self._attempts.pop(call.attempt_key, None)
 
     def post(self, message: Any) -> None:
@@ -175,9 +175,9 @@
         if self.connection is not None:
             self.connection.post(message)
 
-    def tell_demand(self, demands: list[ClassDemand]) -> None:
-        """Tell the slot what waits for it."""
-        self.told_demand = {item.class_name: item.waiting for item in demands}
+    def send_demand(self, demands: list[ClassDemand]) -> None:
+        """Send the slot the number of calls waiting per class."""
+        self.sent_demand = {item.class_name: item.waiting for item in demands}
         self.post(Demand(demands))
 
     async def run(self) -> None:
@@ -195,46 +195,46 @@
                 await self._serve(websocket)
         except (OSError, TimeoutError, WebSocketException) as error:
             self.book.connect_failed(self.vm, self.clock.now())
-            self._note_unreachable(error)
+            self._log_unreachable(error)
 
-    def _note_unreachable(self, error: Exception) -> None:
-        # A slot that is gone is dialled until the list forgets it; one line for that is enough.
+    def _log_unreachable(self, error: Exception) -> None:
+        # An unreachable slot is retried until it leaves the VM list; it is logged only once.
         if not self._unreachable:
             log_event(Event.PEER_UNREACHABLE, vm=self.vm, reason=error)
         self._unreachable = True
 
     async def _serve(self, websocket: Any) -> None:
-        greeted = await greet_peer(websocket, self.identity, self.key, self.traffic)
-        if isinstance(greeted, Err):
-            log_event(Event.HANDSHAKE_REFUSED, vm=self.vm, reason=greeted.err())
+        handshake = await greet_peer(websocket, self.identity, self.key, self.traffic)
+        if isinstance(handshake, Err):
+            log_event(Event.HANDSHAKE_REFUSED, vm=self.vm, reason=handshake.err())
             self.count("peer.handshake_refused")
             return
-        connection = greeted.ok()
+        connection = handshake.ok()
         if not self.vm:
-            self._learn(connection.peer)
+            self._adopt_identity(connection.peer)
         if connection.peer.vm != self.vm:
-            # Another VM has got the address; the list will say so in time.
+            # Another VM now has this address; the VM list will be updated.
             log_event(Event.HANDSHAKE_REFUSED, vm=self.vm, reason=f"got {connection.peer.vm}")
             self.count("peer.other_vm")
             return
         async with connection.writing():
             try:
-                self._come_up(connection)
+                self._on_connected(connection)
                 await connection.read_messages(self._handlers, self.count)
             except ConnectionClosed:
                 pass
             finally:
-                self._go_down(connection)
+                self._on_disconnected(connection)
                 await connection.close("")
 
-    def _learn(self, peer: Identity) -> None:
-        """Take the identity of a slot of which only the address was known."""
+    def _adopt_identity(self, peer: Identity) -> None:
+        """Adopt the identity of a slot that was connected to by its address alone."""
         self.target = attrs.evolve(
             self.target, vm=peer.vm, failure_domain=peer.failure_domain, group=peer.group
         )
         self.book.learn(self.target, self.clock.now())
 
-    def _come_up(self, connection: PeerConnection) -> None:
+    def _on_connected(self, connection: PeerConnection) -> None:
         self.connection = connection
         self._unreachable = False
         incarnation = connection.peer.incarnation
@@ -246,14 +246,14 @@
         self.sync.add_peer(connection)
         self.listener.link_up(self)
 
-    def _go_down(self, connection: PeerConnection) -> None:
+    def _on_disconnected(self, connection: PeerConnection) -> None:
         self.sync.remove_peer(connection)
         self.book.disconnected(self.vm, connection.peer.incarnation, self.clock.now())
         log_event(Event.PEER_DISCONNECTED, vm=self.vm, incarnation=connection.peer.incarnation)
         self.connection = None
         self.status = None
-        self.told_demand = {}
-        self.full_for = set()
+        self.sent_demand = {}
+        self.full_classes = set()
         calls = list(self._attempts.values())
         self._attempts.clear()
         for call in calls:
@@ -262,11 +262,11 @@
     def _make_handlers(self) -> dict[type, Callable[[PeerConnection, Any], None]]:
         return {
             Frames: lambda peer, message: self._on_frames(message),
-            NotRun: lambda peer, message: self._on_attempt_over(message),
-            Failed: lambda peer, message: self._on_attempt_over(message),
+            NotRun: lambda peer, message: self._on_attempt_ended(message),
+            Failed: lambda peer, message: self._on_attempt_ended(message),
             SlotStatus: lambda peer, message: self._on_status(message),
             Grant: lambda peer, message: self.listener.link_grant(self, message),
-            Heartbeat: lambda peer, message: self.sync.peer_has(peer, message.revision),
+            Heartbeat: lambda peer, message: self.sync.fetch_if_behind(peer, message.revision),
             FetchLog: self.sync.answer_fetch,
             LogPart: self.sync.receive_part,
             Suspicions: lambda peer, message: self.listener.link_suspicions(self, message),
@@ -276,13 +276,13 @@
     def _on_frames(self, message: Frames) -> None:
         attempts = self._attempts
         for frame in message.frames:
-            # Frames of an attempt that was given up find no call and are dropped here, so that an
-            # answer is never made of two attempts.
+            # Frames of a cancelled attempt find no call and are dropped here, so that an answer
+            # is never composed of two attempts.
             call = attempts.get((frame.request, frame.attempt))
             if call is not None:
                 call.inbox.put(frame)
 
-    def _on_attempt_over(self, message: NotRun | Failed) -> None:
+    def _on_attempt_ended(self, message: NotRun | Failed) -> None:
         call = self._attempts.pop((message.request, message.attempt), None)
         if call is not None:
             call.inbox.put(message)
@@ -293,8 +293,8 @@
         self.status = message
         self._status_at = self.clock.now()
         self._outstanding_at_status = self.outstanding
-        self.full_for = set()
+        self.full_classes = set()
         if message.leaving:
             self.book.said_leaving(self.vm, self.connection.peer.incarnation, self.clock.now())
-        self.sync.peer_has(self.connection, message.revision)
+        self.sync.fetch_if_behind(self.connection, message.revision)
         self.listener.link_status(self)
