--- a/packages/burdockquay-transport/src/burdockquay_transport/_slot_runner.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_slot_runner.py
@@ -1,4 +1,4 @@
-"""Runs attempts on the upstream as its places free up."""
+"""Runs attempts on the upstream as its capacity allows."""
 
 from __future__ import annotations
 
@@ -32,28 +32,27 @@
 from ._events import Event, describe_fault, log_event
 from ._peer import PeerConnection
 from ._upstream import AnswerPart, BodyPiece, Token, UpstreamClient, UpstreamError
-from ._upstream_health import PaceMeter, UpstreamHealth
+from ._upstream_health import TokenLatencyMeter, UpstreamHealth
 
 OUTCOME_GRACE_S = 30.0
-"""How long past its deadline a claimed request may still bring its outcome, seconds."""
+"""How long past its deadline a claimed request may still end with an outcome, seconds."""
 
-
-FINISH_POLL_S = 0.01
-"""Time between two looks at what is still held during a shutdown, seconds."""
+DRAIN_POLL_INTERVAL_S = 0.01
+"""Time between two checks for unfinished attempts during a shutdown, seconds."""
 
 
 @attrs.define(eq=False)
 class Attempt:
-    """An attempt that the slot holds.
+    """An attempt that is queued or running at the slot.
 
     Parameters
     ----------
     run : Run
     connection : PeerConnection
-        The entry that asked for it.
+        Connection to the entry that sent it.
     work : Work
     task : asyncio.Task or None
-        Set once the attempt was started.
+        Set once the attempt is started.
     sequence : int
         Number of the next frame of its answer.
     """
@@ -64,7 +63,7 @@
     task: asyncio.Task | None = None
     sequence: int = 0
     sent_at: float = 0.0
-    token_at: float = 0.0
+    last_token_at: float = 0.0
     was_paused: bool = False
 
     @property
@@ -79,11 +78,11 @@
         self.connection.post_frame(frame)
 
     def post_not_run(self, kind: ErrorKind, detail: str = "") -> None:
-        """Tell the entry that the attempt did not run and never will."""
+        """Report to the entry that the attempt did not run and never will."""
         self.connection.post(NotRun(self.run.request, self.run.attempt, kind, detail))
 
     def post_failed(self, kind: ErrorKind, detail: str, crashed: bool = False) -> None:
-        """Tell the entry that the attempt failed after it was sent upstream."""
+        """Report to the entry that the attempt failed after it was sent upstream."""
         self.connection.post(Failed(self.run.request, self.run.attempt, kind, detail, crashed))
 
 
@@ -95,14 +94,14 @@
     scheduler : SlotScheduler
     client : UpstreamClient
     guard : OnceGuard
-        Claims of non-idempotent requests.
+        Claims the keys of non-idempotent requests.
     clock : Clock
     find_priority : callable
-        From the name of a class to its priority.
+        Maps the name of a class to its priority.
     send_grant : callable
         Called with each :class:`PlaceGrant`.
     on_change : callable
-        Called without arguments when the counts changed.
+        Called without arguments when the counts may have changed.
     """
 
     def __init__(
@@ -122,31 +121,31 @@
         self.find_priority = find_priority
         self.send_grant = send_grant
         self.on_change = on_change
-        self.pace = PaceMeter()
+        self.latency = TokenLatencyMeter()
         self.health: UpstreamHealth | None = None
         self._attempts: dict[tuple[str, int], Attempt] = {}
-        self._controls: set[asyncio.Task] = set()
+        self._control_tasks: set[asyncio.Task] = set()
         self._steps = (self._pause_one, self._start_one, self._resume_one, self._grant_one)
 
     @property
     def held(self) -> int:
-        """Attempts that the slot holds, queued ones included."""
+        """Number of attempts that are queued or running."""
         return len(self._attempts)
 
-    def silence_s(self, now: float) -> float:
-        """Return the time since the latest token of any answer that is under way, seconds.
+    def token_gap_s(self, now: float) -> float:
+        """Return the time since the latest token of any running answer, seconds.
 
-        Answers that have not begun do not count: the upstream may be reading their prompts.
+        Answers without a first token do not count: the upstream may still process their prompts.
         """
-        begun = [
-            attempt.token_at
+        last_tokens = [
+            attempt.last_token_at
             for attempt in self._attempts.values()
-            if attempt.token_at > attempt.sent_at and not attempt.was_paused
+            if attempt.last_token_at > attempt.sent_at and not attempt.was_paused
         ]
-        return now - max(begun) if begun else 0.0
+        return now - max(last_tokens) if last_tokens else 0.0
 
     def accept(self, connection: PeerConnection, run: Run, now: float) -> None:
-        """Take an attempt or refuse it."""
+        """Accept an attempt or refuse it."""
         work = Work(
             run.request,
             run.attempt,
@@ -159,7 +158,7 @@
         )
         attempt = Attempt(run, connection, work)
         if attempt.key in self._attempts:
-            # No answer: "not run" would be untrue of the attempt that is held.
+            # No reply: "not run" would be false for the attempt that was accepted first.
             log_event(Event.PEER_OUT_OF_ORDER, vm=connection.peer.vm, detail="attempt sent twice")
             return
         offered = self.scheduler.offer(work, run.grant, now)
@@ -167,11 +166,11 @@
             attempt.post_not_run(offered.err())
             return
         self._attempts[attempt.key] = attempt
-        self.fill_places(now)
+        self.run_scheduler(now)
 
-    def fill_places(self, now: float) -> None:
-        """Do all that the scheduler allows at this moment."""
-        # What one step does can open the way for another, so the steps go round until none acts.
+    def run_scheduler(self, now: float) -> None:
+        """Carry out all that the scheduler allows now."""
+        # One step can make another possible, so they repeat until none has anything to do.
         while any(step(now) for step in self._steps):
             continue
         self.on_change()
@@ -182,7 +181,7 @@
             return False
         log_event(Event.REQUEST_PAUSED, request=victim.request, class_name=victim.class_name)
         self._attempts[victim.request, victim.attempt].was_paused = True
-        self._control(self.client.pause(engine_request_id(victim)))
+        self._spawn_control(self.client.pause(engine_request_id(victim)))
         return True
 
     def _start_one(self, now: float) -> bool:
@@ -191,9 +190,9 @@
             return False
         attempt = self._attempts[work.request, work.attempt]
         attempt.task = asyncio.create_task(self._run(attempt))
-        # Not at the end of the task's own code: a task that is cancelled before its first step
-        # runs none of it, and its place would stay taken for ever.
-        attempt.task.add_done_callback(lambda _: self._ended(attempt))
+        # A done callback, since a task that is cancelled before its first step runs none of its
+        # own code and would never release its capacity.
+        attempt.task.add_done_callback(lambda _: self._on_task_done(attempt))
         return True
 
     def _resume_one(self, now: float) -> bool:
@@ -201,7 +200,7 @@
         if work is None:
             return False
         log_event(Event.REQUEST_RESUMED, request=work.request, class_name=work.class_name)
-        self._control(self.client.resume(engine_request_id(work)))
+        self._spawn_control(self.client.resume(engine_request_id(work)))
         return True
 
     def _grant_one(self, now: float) -> bool:
@@ -213,7 +212,7 @@
         return True
 
     def expire(self, now: float) -> None:
-        """Refuse queued work that has waited too long, and let grants lapse."""
+        """Refuse queued work that has waited too long, and expire grants."""
         for work in self.scheduler.expire(now):
             attempt = self._attempts.pop((work.request, work.attempt), None)
             if attempt is None:
@@ -221,69 +220,69 @@
             late = now >= work.deadline
             kind = ErrorKind.DEADLINE_EXCEEDED if late else ErrorKind.PATIENCE_EXCEEDED
             attempt.post_not_run(kind)
-        self.fill_places(now)
+        self.run_scheduler(now)
 
     def cancel(self, request: str, attempt_number: int, now: float) -> None:
-        """Stop an attempt that nobody waits for.
+        """Stop an attempt whose caller no longer waits.
 
-        A claimed request is left to run: its effect may have happened, and a repeat of its key
-        can only be answered if its outcome is written down.
+        A claimed request keeps running: its effect may have happened, and a repeat of its key
+        can only be answered if its outcome is recorded.
         """
         attempt = self._attempts.get((request, attempt_number))
         if attempt is None:
             return
         if attempt.task is None:
-            self._forget(attempt, now)
+            self._remove(attempt, now)
         elif attempt.run.idempotent:
             attempt.task.cancel()
 
     def drop_peer(self, peer: str, now: float) -> None:
-        """Stop what a lost entry had asked for."""
+        """Cancel the attempts of an entry that disconnected."""
         for work in self.scheduler.forget_peer(peer, now):
             self.cancel(work.request, work.attempt, now)
-        self.fill_places(now)
+        self.run_scheduler(now)
 
     async def finish_all(self) -> None:
-        """Wait until nothing is held any more."""
+        """Wait until no attempt is queued or running."""
         while self._attempts:
-            await asyncio.sleep(FINISH_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
-    def cut_all(self, reason: str, now: float) -> None:
-        """End everything at the limit of the shutdown and tell the truth about it."""
+    def abort_all(self, reason: str, now: float) -> None:
+        """End all attempts at the shutdown limit, and report whether each may have run."""
         for attempt in list(self._attempts.values()):
             if attempt.task is None:
                 attempt.post_not_run(ErrorKind.LEAVING, reason)
-                self._forget(attempt, now)
+                self._remove(attempt, now)
             else:
                 attempt.post_failed(ErrorKind.UPSTREAM_FAILED, reason)
                 attempt.task.cancel()
 
-    def _forget(self, attempt: Attempt, now: float) -> None:
+    def _remove(self, attempt: Attempt, now: float) -> None:
         self._attempts.pop(attempt.key, None)
         self.scheduler.finish(attempt.run.request, attempt.run.attempt, now)
 
-    def _control(self, call) -> None:
+    def _spawn_control(self, call) -> None:
         task = asyncio.create_task(call)
-        self._controls.add(task)
-        task.add_done_callback(self._controls.discard)
+        self._control_tasks.add(task)
+        task.add_done_callback(self._control_tasks.discard)
 
     async def _run(self, attempt: Attempt) -> None:
         try:
             if attempt.run.idempotent:
                 await self._run_idempotent(attempt)
             else:
-                await self._run_once(attempt)
+                await self._run_at_most_once(attempt)
         except asyncio.CancelledError:
-            self._control(self.client.cancel(engine_request_id(attempt.run)))
+            self._spawn_control(self.client.cancel(engine_request_id(attempt.run)))
         except Exception as error:  # noqa: BLE001
-            # A fault in this code must not leave the caller waiting for ever.
+            # A fault in this code must not leave the caller without an answer.
             log_event(Event.INTERNAL_ERROR, where="slot attempt", error=describe_fault(error))
             attempt.post_failed(ErrorKind.INTERNAL, type(error).__name__)
 
-    def _ended(self, attempt: Attempt) -> None:
+    def _on_task_done(self, attempt: Attempt) -> None:
         now = self.clock.now()
-        self._forget(attempt, now)
-        self.fill_places(now)
+        self._remove(attempt, now)
+        self.run_scheduler(now)
 
     async def _run_idempotent(self, attempt: Attempt) -> None:
         remaining = attempt.work.deadline - self.clock.now()
@@ -292,11 +291,11 @@
                 await self._relay(attempt, None)
         except TimeoutError:
             attempt.post_failed(ErrorKind.DEADLINE_EXCEEDED, "the deadline passed while it ran")
-            self._control(self.client.cancel(engine_request_id(attempt.run)))
+            self._spawn_control(self.client.cancel(engine_request_id(attempt.run)))
         except UpstreamError as error:
-            self._report(attempt, error)
+            self._report_error(attempt, error)
 
-    async def _run_once(self, attempt: Attempt) -> None:
+    async def _run_at_most_once(self, attempt: Attempt) -> None:
         begun = await self.guard.begin(attempt.run, self.clock.wall)
         if isinstance(begun, Err):
             log_event(Event.CLAIM_REFUSED, request=attempt.run.request, kind=begun.err().kind.value)
@@ -315,32 +314,34 @@
         except UpstreamError as error:
             if not error.sent:
                 await self.guard.abandon(claim)
-            self._report(attempt, error)
+            self._report_error(attempt, error)
             return
         await self.guard.finish(claim, collector.answer())
 
-    def _report(self, attempt: Attempt, error: UpstreamError) -> None:
+    def _report_error(self, attempt: Attempt, error: UpstreamError) -> None:
         if error.crashed:
-            self.health.answer_broke(self.scheduler.running(self.clock.now()), self.clock.now())
+            self.health.record_broken_answer(
+                self.scheduler.running(self.clock.now()), self.clock.now()
+            )
         elif error.kind is ErrorKind.NO_UPSTREAM:
-            self.health.suspect()
+            self.health.probe_soon()
         if error.sent:
             attempt.post_failed(error.kind, error.detail, error.crashed)
         else:
             attempt.post_not_run(error.kind, error.detail)
 
     async def _relay(self, attempt: Attempt, collector: AnswerCollector | None) -> None:
-        attempt.sent_at = attempt.token_at = self.clock.now()
+        attempt.sent_at = attempt.last_token_at = self.clock.now()
         priority = self.find_priority(attempt.run.class_name)
         async with aclosing(self.client.call(attempt.run, priority)) as parts:
             async for part in parts:
-                self._pass_on(attempt, part)
+                self._forward_part(attempt, part)
                 if collector is not None:
                     collector.add(part)
 
-    def _pass_on(self, attempt: Attempt, part: AnswerPart) -> None:
+    def _forward_part(self, attempt: Attempt, part: AnswerPart) -> None:
         if isinstance(part, Token):
-            self._count_token(attempt, part)
+            self._record_token(attempt, part)
             attempt.post_part(PART_TOKEN, part.text.encode())
         elif isinstance(part, BodyPiece):
             attempt.post_part(PART_BODY, part.data)
@@ -349,12 +350,12 @@
         elif isinstance(part, AnswerEnd):
             attempt.post_part(PART_END, encode_part(part))
 
-    def _count_token(self, attempt: Attempt, token: Token) -> None:
+    def _record_token(self, attempt: Attempt, token: Token) -> None:
         now = self.clock.now()
-        if attempt.token_at == attempt.sent_at:
-            self.pace.add_first_token(now - attempt.sent_at, now)
+        if attempt.last_token_at == attempt.sent_at:
+            self.latency.add_first_token(now - attempt.sent_at, now)
         elif not attempt.was_paused:
-            self.pace.add_step(now - attempt.token_at, now)
+            self.latency.add_step(now - attempt.last_token_at, now)
         attempt.was_paused = False
-        attempt.token_at = now
+        attempt.last_token_at = now
         self.scheduler.charge(attempt.run.request, attempt.run.attempt, token.count, now)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_status_http.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_status_http.py
@@ -1,4 +1,4 @@
-"""The read-only HTTP of a process: health, readiness, status."""
+"""Read-only HTTP pages of a process: health, readiness, status."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from aiohttp import web
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-"""Content type of the text form in which collectors read figures."""
+"""Content type of the text exposition format of metrics."""
 
 
 @attrs.frozen
 class StatusServer:
-    """A running server of read-only pages.
+    """Running server of the read-only pages.
 
     Parameters
     ----------
@@ -60,7 +60,7 @@
     describe: Callable[[], Any],
     expose: Callable[[], bytes] | None = None,
 ) -> StatusServer:
-    """Start a server with the read-only pages alone.
+    """Start a server for the read-only pages.
 
     Parameters
     ----------
@@ -69,7 +69,7 @@
     is_ready, describe : callable
         See :func:`add_status_routes`.
     expose : callable or None
-        Returns the figures that ``/metrics`` shows; None for no such page.
+        Returns the content of ``/metrics``; None for no such page.
 
     Raises
     ------
--- a/packages/burdockquay-transport/src/burdockquay_transport/_status_sender.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_status_sender.py
@@ -1,4 +1,4 @@
-"""Sends the state of a slot to its entries, within a budget of bytes."""
+"""Sends the status of a slot to its entries, within a traffic budget."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 """Size of a status message on the wire, bytes."""
 
 STATUS_BYTES_PER_S = 1000.0
-"""Traffic that status messages to all entries together may cause, bytes a second."""
+"""Limit on the traffic of status messages to all entries together, bytes per second."""
 
 
 class StatusSender:
-    """Tells the entries what has changed.
+    """Sends status changes to the entries.
 
     Parameters
     ----------
     make_status : callable
-        Returns the present :class:`SlotStatus`.
+        Returns the current :class:`SlotStatus`.
     find_peers : callable
         Returns the connected entries.
     interval_s : float
-        Shortest time between two messages, seconds; more entries make it longer.
+        Shortest time between two messages, seconds; longer with many entries, to keep to the
+        traffic budget.
     """
 
     def __init__(
@@ -38,33 +39,33 @@
         self.make_status = make_status
         self.find_peers = find_peers
         self.interval_s = interval_s
-        self._wanted = asyncio.Event()
+        self._changed = asyncio.Event()
 
     def counts_changed(self) -> None:
-        """Send the status when the budget allows."""
-        self._wanted.set()
+        """Schedule a status message for when the budget allows one."""
+        self._changed.set()
 
     def send_now(self) -> None:
-        """Send the status at once, whatever the budget says."""
+        """Send the status at once, regardless of the budget."""
         status = self.make_status()
         for peer in self.find_peers():
             peer.post(status)
 
     async def run(self) -> None:
-        """Send what has changed until cancelled; run as a task.
+        """Send status changes until cancelled; run as a task.
 
         Notes
         -----
-        The pause comes before the message: a short request starts and ends within it, and what
-        has not changed in the end need not be sent. Sending first put a message before each
-        request's way to the upstream.
+        The delay comes before the message: a short request starts and ends within it, and a status
+        that is unchanged at the end need not be sent. Sending first would put a status message
+        ahead of each request that is passed to the upstream.
         """
         last = None
         while True:
-            await self._wanted.wait()
+            await self._changed.wait()
             budget_s = STATUS_BYTES * len(self.find_peers()) / STATUS_BYTES_PER_S
             await asyncio.sleep(max(self.interval_s, budget_s))
-            self._wanted.clear()
+            self._changed.clear()
             status = self.make_status()
             if status != last:
                 last = status
--- a/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
@@ -1,4 +1,4 @@
-"""Suspicions against requests, as a process shares them with its peers and the table."""
+"""Exchange of suspicions against requests with peers and the table."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from ._peer import PeerConnection
 
 RETENTION_S = 3600.0
-"""How long a suspicion against a request is kept, seconds."""
+"""Retention time of a suspicion against a request, seconds."""
 
 
 class SuspicionExchange:
-    """The quarantine book of a process, and the ways by which it learns and tells.
+    """Quarantine book of a process, kept in sync with its peers and the table.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
     clock : Clock
     rng : random.Random
     find_peers : callable
-        Returns the connections that are up.
+        Returns the open connections.
 
     Attributes
     ----------
@@ -51,49 +51,49 @@
         return self.book.suspicions(self.clock.wall())
 
     async def load(self) -> None:
-        """Take over what was known before this process began."""
+        """Load the suspicions that the table holds from before the start of this process."""
         loaded = await load_until_read(self.store, self.clock.wall, self.rng)
         self.book.merge(loaded, self.clock.wall())
 
-    def greet(self, peer: PeerConnection) -> None:
-        """Tell a newly connected peer all that is known here."""
+    def send_all(self, peer: PeerConnection) -> None:
+        """Send all suspicions in force to a newly connected peer."""
         peer.post(Suspicions(self.known()))
 
     def receive(self, peer: PeerConnection, message: Suspicions) -> None:
-        """Take over what a peer tells, and pass on what is new."""
-        news = self.book.merge(message.suspicions, self.clock.wall())
-        self._tell(news, except_peer=peer)
+        """Merge the suspicions from a peer, and forward the new ones."""
+        added = self.book.merge(message.suspicions, self.clock.wall())
+        self._broadcast(added, except_peer=peer)
 
-    def note_crash(self, digests: Sequence[str]) -> list[Suspicion]:
-        """Note what ran when the upstream crashed, and tell the peers at once.
+    def record_crash(self, digests: Sequence[str]) -> list[Suspicion]:
+        """Record which requests ran when the upstream crashed, and send this to peers at once.
 
         Returns
         -------
         list of Suspicion
-            What is new, for :meth:`save`.
+            New suspicions, for :meth:`save`.
 
         Notes
         -----
-        The peers must hear of it before they hear that their answers broke off: they try again
-        in that moment, and would run a dangerous request beside others once more.
+        The peers must receive this before the failures of their attempts. They retry immediately
+        on a failure, and would otherwise run a dangerous request beside others again.
         """
-        news = self.book.note_crash(digests, self.clock.wall())
-        self._tell(news)
-        return news
+        added = self.book.note_crash(digests, self.clock.wall())
+        self._broadcast(added)
+        return added
 
-    async def save(self, news: list[Suspicion]) -> None:
-        """Write suspicions down for processes that start later."""
-        await self.store.save(news, self.clock.wall())
+    async def save(self, added: list[Suspicion]) -> None:
+        """Write suspicions to the table, for processes that start later."""
+        await self.store.save(added, self.clock.wall())
 
     def withdraw(self, records: Iterable[QuarantineWithdrawalRecord]) -> None:
-        """Set the requests free that operators name."""
+        """Drop the suspicions against requests that operators have withdrawn."""
         for record in records:
             self.book.withdraw(record.digest, self.clock.wall())
 
-    def _tell(self, news: list[Suspicion], except_peer: PeerConnection | None = None) -> None:
-        if not news:
+    def _broadcast(self, added: list[Suspicion], except_peer: PeerConnection | None = None) -> None:
+        if not added:
             return
-        log_event(Event.QUARANTINE_SUSPECTED, digests=",".join(item.digest for item in news))
+        log_event(Event.QUARANTINE_SUSPECTED, digests=",".join(item.digest for item in added))
         for peer in self.find_peers():
             if peer is not except_peer:
-                peer.post(Suspicions(news))
+                peer.post(Suspicions(added))
--- a/packages/burdockquay-transport/src/burdockquay_transport/_take_in.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_take_in.py
@@ -1,4 +1,4 @@
-"""Takes in what callers have sent to a process that is about to close."""
+"""Accepts and reads the pending connections of a process that is about to close."""
 
 from __future__ import annotations
 
@@ -9,19 +9,20 @@
 from ._early_listener import BACKLOG
 
 READ_ROUNDS = 3
-"""Rounds of the event loop in which all that lies in the sockets is read, and its handling begins:
+"""Iterations of the event loop until all data in the sockets is read and its handling has begun:
 one to read, one to wake the task of the connection, one for that task."""
 
 
 async def accept_waiting(listening: socket.socket) -> None:
-    """Accept each connection that waits in the queue of a listening socket, and read it.
+    """Accept all connections in the queue of a listening socket, and read their data.
 
-    Connections that are not accepted are reset with the socket, also those whose request is there.
+    Connections that are not accepted are reset when the socket is closed, even if their request
+    has arrived.
 
     Parameters
     ----------
     listening : socket
-        One that the event loop serves. Some loops accept one connection a round.
+        Socket that the event loop serves. Some loops accept one connection per iteration.
     """
     poll = select.poll()
     poll.register(listening, select.POLLIN)
@@ -33,6 +34,6 @@
 
 
 async def read_what_came() -> None:
-    """Let the event loop read what lies in the sockets, and begin to handle it."""
+    """Let the event loop read the data in the sockets and begin to handle it."""
     for _ in range(READ_ROUNDS):
         await asyncio.sleep(0)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_upstream_health.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_upstream_health.py
@@ -1,4 +1,4 @@
-"""A slot's own view of its upstream: crashes, probes and the pace of its answers."""
+"""Health of a slot's upstream: crashes, probes and token latencies."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 _SMOOTHING = 0.1
 """Weight of the newest sample in the running means."""
 
-INCIDENT_S = 1.0
-"""Answers that break within this time of the first belong to the same crash, seconds."""
+CRASH_WINDOW_S = 1.0
+"""Answers that fail within this time of the first one belong to the same crash, seconds."""
 
 
-class PaceMeter:
+class TokenLatencyMeter:
     """Running means of the time to the first token and between tokens, seconds."""
 
     def __init__(self):
         self.first_token_s = 0.0
         self._step_s = 0.0
-        self._token_at = 0.0
+        self._last_token_at = 0.0
 
     def add_step(self, seconds: float, now: float) -> None:
         """Add the time between two tokens of one answer."""
         self._step_s = _smooth(self._step_s, seconds)
-        self._token_at = now
+        self._last_token_at = now
 
     def add_first_token(self, seconds: float, now: float) -> None:
         """Add the time from sending a request to its first token."""
         self.first_token_s = _smooth(self.first_token_s, seconds)
-        self._token_at = now
+        self._last_token_at = now
 
     def is_stale(self, age_s: float, now: float) -> bool:
         """Return whether the last token is older than ``age_s`` seconds."""
-        return now - self._token_at > age_s
+        return now - self._last_token_at > age_s
 
     def replace(self, step_s: float, now: float) -> None:
-        """Take a fresh measurement in place of the running mean."""
+        """Replace the running mean by a new measurement."""
         self._step_s = step_s
-        self._token_at = now
+        self._last_token_at = now
 
-    def step_s(self, silence_s: float) -> float:
-        """Return the time between tokens.
+    def step_s(self, token_gap_s: float) -> float:
+        """Return the time between tokens, seconds.
 
         Parameters
         ----------
-        silence_s : float
-            Time since the latest token of any answer that is under way; 0 if none is.
+        token_gap_s : float
+            Time since the latest token of any running answer; 0 if there is none.
 
         Notes
         -----
-        An upstream that stalls brings no more samples, and its last mean would look healthy for
-        ever. So the silence counts once it is longer than the mean.
+        An upstream that stalls yields no more samples, and its last mean would look healthy
+        indefinitely. So the gap since the latest token is used once it exceeds the mean.
         """
-        return max(self._step_s, silence_s)
+        return max(self._step_s, token_gap_s)
 
 
 def _smooth(mean: float, sample: float) -> float:
@@ -66,23 +66,23 @@
 
 
 class UpstreamHealth:
-    """Finds out by probes whether the upstream serves, and what ran when it crashed.
+    """Probes the upstream after failures, and reports which requests ran when it crashed.
 
     Parameters
     ----------
     client : UpstreamClient
     clock : Clock
     probe_interval_s : float
-        Time between two probes of an upstream that failed, seconds.
+        Time between two probes of an unhealthy upstream, seconds.
     on_change : callable
         Called without arguments when the upstream becomes healthy or unhealthy.
     on_crash : callable
-        Called with the digests of what ran when the upstream crashed.
+        Called with the digests of the requests that ran when the upstream crashed.
 
     Notes
     -----
-    Callers' requests are never used to find out whether an upstream is back: a request that is
-    sent to a dead engine has waited for nothing. See docs/design/health.md.
+    Callers' requests are never used to test whether an upstream has recovered: a request that is
+    sent to a crashed engine has waited in vain. See docs/design/health.md.
     """
 
     def __init__(
@@ -99,28 +99,29 @@
         self.on_change = on_change
         self.on_crash = on_crash
         self._gate = ProbeGate()
-        self._incident_at = -INCIDENT_S
+        self._crashed_at = -CRASH_WINDOW_S
         self._checking: asyncio.Task | None = None
 
     @property
     def healthy(self) -> bool:
-        """Whether the upstream takes work."""
+        """Whether the upstream accepts work."""
         return self._gate.healthy
 
-    def answer_broke(self, running: Sequence[Work], now: float) -> None:
-        """Note that an answer was cut, while ``running`` was on the upstream.
+    def record_broken_answer(self, running: Sequence[Work], now: float) -> None:
+        """Record that an answer was interrupted while ``running`` was on the upstream.
 
-        All answers that a crash cuts break one after another; only the first one still sees all
-        that ran, so the others within a short time count for nothing.
+        The answers that a crash interrupts fail one after another. Only at the first failure does
+        ``running`` still hold all requests, so further failures within ``CRASH_WINDOW_S`` report
+        no crash.
         """
-        if now - self._incident_at >= INCIDENT_S:
-            self._incident_at = now
+        if now - self._crashed_at >= CRASH_WINDOW_S:
+            self._crashed_at = now
             log_event(Event.UPSTREAM_CRASHED, running=len(running))
             self.on_crash(sorted({work.digest for work in running}))
-        self.suspect()
+        self.probe_soon()
 
-    def suspect(self) -> None:
-        """Probe the upstream soon, and keep it out of work if the probe fails."""
+    def probe_soon(self) -> None:
+        """Start a probe of the upstream, which is marked unhealthy if the probe fails."""
         if self._checking is None or self._checking.done():
             self._checking = asyncio.create_task(self._check())
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/entry.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/entry.py
@@ -1,4 +1,4 @@
-"""The entry: the process that callers talk to."""
+"""The entry: the process that serves callers."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 from ._slot_link import LinkListener, SlotLink
 
 BOOTSTRAP_LINKS = 4
-"""Slots connected to while there is no configuration yet."""
+"""Number of slots to connect to while there is no configuration yet."""
 
 RETRY_BURST = 20
-"""Retries that may be made at once, whatever the share of fresh traffic."""
+"""Retries that may be made in a burst, regardless of the volume of first attempts."""
 
 
 class Entry(Process, LinkListener):
@@ -48,12 +48,12 @@
 
     @property
     def status_port(self) -> int:
-        """Port of the read-only HTTP; the same as the callers'."""
+        """Port of the read-only HTTP pages; the same as the callers' port."""
         return self._server.port
 
     @property
     def ready(self) -> bool:
-        """Whether callers are served: there is a configuration and some slot takes work."""
+        """Whether callers are served: there is a configuration and some slot accepts work."""
         return (
             self._holder.ready
             and not self._leaving
@@ -66,7 +66,7 @@
         return self._refusing
 
     def dispatcher(self, group: str) -> GroupDispatcher | None:
-        """Return the dispatcher of an upstream group, None if no record names it."""
+        """Return the dispatcher of an upstream group, None if there is no record of the group."""
         return self._dispatchers.get(group)
 
     def _open_parts(self) -> None:
@@ -75,9 +75,9 @@
         self._links: dict[str, SlotLink] = {}
         self._link_tasks: dict[str, asyncio.Task] = {}
         self._dispatchers: dict[str, GroupDispatcher] = {}
-        self._listed: list[VmEntry] = []
-        self._wanted: set[str] = set()
-        self._steady = False
+        self._vm_list: list[VmEntry] = []
+        self._target_vms: set[str] = set()
+        self._connections_stable = False
         self._refusing = False
         self._vm_list_healthy = True
         self._book = MembershipBook(settings.vm)
@@ -98,8 +98,8 @@
         self._server = CallerServer(self)
         await self._server.start(self.settings.host, self.settings.port)
 
-    def _duties(self) -> Collection[Coroutine]:
-        return (self._follow_vm_list(), self._watch_time())
+    def _background_coroutines(self) -> Collection[Coroutine]:
+        return (self._follow_vm_list(), self._run_ticks())
 
     def _count_processes(self) -> int:
         return self._book.processes
@@ -110,18 +110,18 @@
     def _held(self) -> int:
         return self._server.held
 
-    def _leaving_began(self) -> None:
-        """The readiness page says so from now on; nothing else is needed."""
+    def _on_leaving(self) -> None:
+        """Do nothing: ``/readyz`` already reports that the entry is draining."""
 
     async def _finish_all(self) -> None:
-        # The balancer goes on sending until it has looked at the readiness again. Callers whose
-        # connections were refused meanwhile would notice the replacement of a VM.
+        # The balancer keeps sending requests until its next readiness check. Refusing connections
+        # before that would make the replacement of a VM visible to callers.
         await asyncio.sleep(self.settings.leave_delay_s)
         self._refusing = True
         await self._server.finish_all()
 
-    async def _cut_all(self, reason: str) -> None:
-        await self._server.cut_all()
+    async def _abort_all(self, reason: str) -> None:
+        await self._server.abort_all()
 
     async def _close_parts(self) -> None:
         await self._server.close()
@@ -159,66 +159,69 @@
     async def _follow_vm_list(self) -> None:
         while True:
             listed = await self._platform.vms.list()
-            self._note_vm_list(not isinstance(listed, Err))
+            self._record_vm_list_health(not isinstance(listed, Err))
             if isinstance(listed, Err):
-                self._try_seeds()
+                self._connect_seeds()
             else:
-                self._take_list(listed.ok())
+                self._apply_vm_list(listed.ok())
             interval = self.settings.vm_list_interval_s
             await asyncio.sleep(interval * self._rng.uniform(0.8, 1.2))
 
-    def _take_list(self, entries: list[VmEntry]) -> None:
-        """Bring the connections in line with a reading of the VM list.
+    def _apply_vm_list(self, entries: list[VmEntry]) -> None:
+        """Update the connections after a read of the VM list.
 
         Notes
         -----
         The subsets are chosen from every slot of the list, which at thousands of slots takes more
-        of a core each second than all other control. While the list stays the same and every
-        connection stands, the choice would be the same.
+        processor time than all other control work. The choice is skipped while the list is
+        unchanged and every connection is up, since its result would be the same.
         """
-        changed = entries != self._listed
+        changed = entries != self._vm_list
         if changed:
-            self._listed = entries
+            self._vm_list = entries
             self._book.update_list(entries, self._clock.now())
-        was_steady, self._steady = self._steady, self._is_steady()
-        if changed or not (was_steady and self._steady):
+        was_stable, self._connections_stable = (
+            self._connections_stable,
+            self._are_connections_stable(),
+        )
+        if changed or not (was_stable and self._connections_stable):
             self._connect_targets()
 
-    def _is_steady(self) -> bool:
-        """Return whether all wanted slots, and no others, are connected and stay."""
-        return self._wanted == {link.vm for link in self._links.values()} and all(
+    def _are_connections_stable(self) -> bool:
+        """Return whether exactly the target slots are connected and none is draining."""
+        return self._target_vms == {link.vm for link in self._links.values()} and all(
             link.connected and not (link.status and link.status.leaving)
             for link in self._links.values()
         )
 
-    def _try_seeds(self) -> None:
-        """Connect to the slots that the settings name, while no slot is known at all."""
+    def _connect_seeds(self) -> None:
+        """Connect to the seed slots of the settings if there is no other slot to connect to."""
         if self._links:
             return
         for address in self.settings.seed_slots:
             host, _, port = address.rpartition(":")
-            # Only the handshake tells whose address it is.
+            # The VM and group of the slot are received in the handshake.
             self._add_link(VmEntry("", "slot", host.strip("[]"), int(port), 0, ""), address)
 
-    def _note_vm_list(self, healthy: bool) -> None:
+    def _record_vm_list_health(self, healthy: bool) -> None:
         if healthy == self._vm_list_healthy:
             return
         self._vm_list_healthy = healthy
         log_event(Event.VM_LIST_RECOVERED if healthy else Event.VM_LIST_UNREADABLE)
 
     def _connect_targets(self) -> None:
-        """Open and drop connections so that they match the membership."""
-        wanted = {target.vm: target for target in self._choose_targets()}
+        """Open and close connections so that they match the membership."""
+        targets = {target.vm: target for target in self._choose_targets()}
         for name, link in list(self._links.items()):
-            target = wanted.get(link.vm)
+            target = targets.get(link.vm)
             is_same = target is not None and target.address == link.target.address
-            if not is_same and not link.outstanding and (wanted or not link.connected):
+            if not is_same and not link.outstanding and (targets or not link.connected):
                 self._drop_link(name)
         linked = {link.vm for link in self._links.values()}
-        for vm, target in wanted.items():
+        for vm, target in targets.items():
             if vm not in linked:
                 self._add_link(target, vm)
-        self._wanted = set(wanted)
+        self._target_vms = set(targets)
         for link in self._links.values():
             self._join_dispatcher(link)
 
@@ -227,9 +230,9 @@
         if self._holder.ready:
             groups = self.snapshot.groups.values()
             return [target for group in groups for target in self._book.targets(group, now)]
-        # Without a configuration no group is known. Any slot may have the configuration, which
-        # matters while the table is down.
-        slots = [entry for entry in self._listed if entry.role == "slot"]
+        # Without a configuration there are no groups. Any slot may provide the configuration,
+        # which is needed while the table is unavailable.
+        slots = [entry for entry in self._vm_list if entry.role == "slot"]
         return choose_subset(self.settings.vm, slots, BOOTSTRAP_LINKS)
 
     def _add_link(self, target: VmEntry, name: str) -> None:
@@ -261,27 +264,27 @@
             dispatcher.forget(link.vm)
 
     def link_up(self, link: SlotLink) -> None:
-        """Tell a newly connected slot the suspicions known here."""
+        """Send the current suspicions to a newly connected slot."""
         self._join_dispatcher(link)
-        self.suspicions.greet(link.connection)
+        self.suspicions.send_all(link.connection)
 
     def link_status(self, link: SlotLink) -> None:
-        """Hand a slot's state to its dispatcher."""
+        """Pass a slot's status to its dispatcher."""
         dispatcher = self._dispatchers.get(link.target.group)
         if dispatcher is not None:
             dispatcher.observe_status(link, self._clock.now())
 
     def link_grant(self, link: SlotLink, grant: Grant) -> None:
-        """Hand a promised place to the dispatcher of its slot."""
+        """Pass a grant to the dispatcher of its slot."""
         dispatcher = self._dispatchers.get(link.target.group)
         if dispatcher is not None:
-            dispatcher.take_grant(link, grant, self._clock.now())
+            dispatcher.use_grant(link, grant, self._clock.now())
 
     def link_suspicions(self, link: SlotLink, message: Suspicions) -> None:
-        """Take over suspicions, and pass them on if any was new."""
+        """Merge received suspicions, and forward the new ones."""
         self.suspicions.receive(link.connection, message)
 
-    async def _watch_time(self) -> None:
+    async def _run_ticks(self) -> None:
         async for now in ticks(self._clock, self._has_waiting):
             for dispatcher in self._dispatchers.values():
                 dispatcher.tick(now)
@@ -326,9 +329,9 @@
         return {"rows": rows, "attainment": attainment}
 
     def now(self) -> float:
-        """Return the present time on the clock of the entry."""
+        """Return the current time on the clock of the entry."""
         return self._clock.now()
 
     def wall(self) -> float:
-        """Return the present time of day."""
+        """Return the current time of day."""
         return self._clock.wall()
--- a/packages/burdockquay-transport/src/burdockquay_transport/slot.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/slot.py
@@ -1,4 +1,4 @@
-"""The slot: the process beside one upstream, and the authority on what runs there."""
+"""The slot: the process beside one upstream, which decides what runs there."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 from ._addresses import bind_socket
 from ._claim_expiry import ClaimExpiry, claim_incarnation
 from ._clock import ticks
-from ._once_era import EraFollower
+from ._era_follower import EraFollower
 from ._order_follower import HttpOrderTarget, OrderFollower
 from ._peer import HEARTBEAT_S, SILENCE_S, PeerConnection
 from ._peer_server import PeerServer
@@ -49,7 +49,7 @@
 from ._upstream_health import UpstreamHealth
 
 IDLE_PROBE_FACTOR = 4.0
-"""Interval of the measurements of an idle upstream, in intervals of the probes."""
+"""Interval of the measurements of an idle upstream, as a multiple of the probe interval."""
 
 
 class Slot(Process):
@@ -64,12 +64,12 @@
 
     @property
     def status_port(self) -> int:
-        """Port of the read-only HTTP."""
+        """Port of the read-only HTTP pages."""
         return self._status_server.port
 
     @property
     def ready(self) -> bool:
-        """Whether the slot has a configuration with its group in it."""
+        """Whether the slot has a configuration that contains its group."""
         return self._holder.ready and self._group is not None
 
     def _open_parts(self) -> None:
@@ -96,9 +96,9 @@
             settings.host, settings.status_port, lambda: self.ready, self.describe
         )
 
-    def _duties(self) -> Collection[Coroutine]:
+    def _background_coroutines(self) -> Collection[Coroutine]:
         return (
-            self._watch_time(),
+            self._run_ticks(),
             self._status.run(),
             self._measure_when_idle(),
             self._expiry.run(),
@@ -112,16 +112,16 @@
     def _held(self) -> int:
         return self._runner.held
 
-    def _leaving_began(self) -> None:
-        self._take_no_work()
+    def _on_leaving(self) -> None:
+        self._stop_taking_work()
 
     async def _finish_all(self) -> None:
         await self._runner.finish_all()
         await self._orders.stop()
         await self._outcomes.flush()
 
-    async def _cut_all(self, reason: str) -> None:
-        self._runner.cut_all(reason, self._clock.now())
+    async def _abort_all(self, reason: str) -> None:
+        self._runner.abort_all(reason, self._clock.now())
 
     async def _close_parts(self) -> None:
         await self._peers.close()
@@ -163,7 +163,7 @@
             self._clock,
             settings.probe_interval_s,
             self._health_changed,
-            self._note_crash,
+            self._record_crash,
         )
         self._runner.health = self._health
 
@@ -194,10 +194,10 @@
         return self._holder.snapshot.groups.get(self.settings.group)
 
     def _count_processes(self) -> int:
-        # A slot hears of every change from its entries, which share the budget of reads among all
-        # processes by the VM list. It reads by itself only in case all of them are cut off from
-        # the table, the more rarely the more of them there are. With a read every interval from
-        # each, thousands of slots would take more reads than the table has.
+        # A slot receives every change from its entries, which share the read budget among all
+        # processes of the VM list. Its own reads only cover the case that all its entries are cut
+        # off from the table, and become rarer with the number of entries. With a read per interval
+        # from each slot, thousands of slots would exceed the reads that the table can serve.
         readers_in_budget = self.settings.table_read_budget * self.settings.poll_interval_s
         return round(readers_in_budget * (1 + len(self._connected_peers())))
 
@@ -214,7 +214,7 @@
         classes = classes_of_group(snapshot, self.settings.group)
         self._scheduler.configure(places, classes, weights, snapshot.policy, now)
         self.suspicions.withdraw(snapshot.withdrawals.values())
-        self._runner.fill_places(now)
+        self._runner.run_scheduler(now)
         self._status.send_now()
 
     def _replace_client(self, kind: str) -> None:
@@ -224,13 +224,13 @@
         self._scheduler.can_pause = self._client.can_pause
 
     def _find_priority(self, class_name: str) -> int:
-        known = self._holder.snapshot.classes.get(class_name)
-        return known.priority if known else 0
+        record = self._holder.snapshot.classes.get(class_name)
+        return record.priority if record else 0
 
     def _peer_up(self, peer: PeerConnection) -> None:
         peer.keep_alive(HEARTBEAT_S, SILENCE_S, self._sync.heartbeat)
         self._sync.add_peer(peer)
-        self.suspicions.greet(peer)
+        self.suspicions.send_all(peer)
         peer.post(self._make_status())
 
     def _peer_down(self, peer: PeerConnection) -> None:
@@ -243,7 +243,7 @@
             Cancel: self._on_cancel,
             Demand: self._on_demand,
             ReturnGrant: self._on_return_grant,
-            Heartbeat: lambda peer, message: self._sync.peer_has(peer, message.revision),
+            Heartbeat: lambda peer, message: self._sync.fetch_if_behind(peer, message.revision),
             FetchLog: self._sync.answer_fetch,
             LogPart: self._sync.receive_part,
             Suspicions: self.suspicions.receive,
@@ -275,21 +275,21 @@
 
     def _on_demand(self, peer: PeerConnection, message: Demand) -> None:
         now = self._clock.now()
-        # A slot that takes no work must not promise a place.
+        # A slot that accepts no work must not send grants.
         takes_work = not self._leaving and self._health.healthy
         classes = message.classes if takes_work else []
         self._scheduler.set_demand(peer.peer.incarnation, classes, now)
-        self._runner.fill_places(now)
+        self._runner.run_scheduler(now)
 
     def _on_return_grant(self, peer: PeerConnection, message: ReturnGrant) -> None:
         now = self._clock.now()
         self._scheduler.return_grant(message.grant, now)
-        self._runner.fill_places(now)
+        self._runner.run_scheduler(now)
 
-    def _note_crash(self, digests: Sequence[str]) -> None:
+    def _record_crash(self, digests: Sequence[str]) -> None:
         self.metrics.count("upstream.crashed")
-        news = self.suspicions.note_crash(digests)
-        self._tasks.spawn(self.suspicions.save(news))
+        added = self.suspicions.record_crash(digests)
+        self._tasks.spawn(self.suspicions.save(added))
 
     def _post_grant(self, place: PlaceGrant, grant: Grant) -> None:
         peer = self._peers.get(place.peer)
@@ -298,7 +298,7 @@
         else:
             peer.post(grant)
 
-    async def _watch_time(self) -> None:
+    async def _run_ticks(self) -> None:
         async for now in ticks(self._clock, self._has_deadlines):
             due = self._scheduler.next_deadline(now)
             if due is not None and due <= now:
@@ -308,31 +308,31 @@
         return self._scheduler.next_deadline(self._clock.now()) is not None
 
     async def _measure_when_idle(self) -> None:
-        """Refresh the pace of an upstream that has no work.
+        """Measure the time per token of an idle upstream, until cancelled.
 
-        Entries give no work to an upstream that was slow. Without work it would bring no figures,
-        and stay out for ever; so a small request of the slot's own takes the place of users' ones.
+        Entries send no work to an upstream that was slow. Without work there would be no new
+        measurement and the upstream would stay ejected, so the slot sends a small request itself.
         """
         interval_s = IDLE_PROBE_FACTOR * self.settings.probe_interval_s
         while True:
             await asyncio.sleep(interval_s * self._rng.uniform(0.8, 1.2))
             idle = self.ready and self._health.healthy and not self._runner.held
             models = self._group.models if idle else []
-            if not models or not self._runner.pace.is_stale(interval_s, self._clock.now()):
+            if not models or not self._runner.latency.is_stale(interval_s, self._clock.now()):
                 continue
             step_s = await self._client.measure(models[0])
             if step_s is not None and not self._runner.held:
-                self._runner.pace.replace(step_s, self._clock.now())
+                self._runner.latency.replace(step_s, self._clock.now())
                 self._status.counts_changed()
 
     def _health_changed(self) -> None:
         if self._health.healthy:
             self._status.send_now()
         else:
-            self._take_no_work()
+            self._stop_taking_work()
 
-    def _take_no_work(self) -> None:
-        """Withdraw what entries have asked for, and tell them."""
+    def _stop_taking_work(self) -> None:
+        """Drop the demand of all entries, and send them the status."""
         now = self._clock.now()
         for peer in self._connected_peers():
             self._scheduler.set_demand(peer.peer.incarnation, [], now)
@@ -347,8 +347,8 @@
             counts.running + counts.granted,
             counts.queued,
             counts.protected_running,
-            round(self._runner.pace.step_s(self._runner.silence_s(now)), 5),
-            round(self._runner.pace.first_token_s, 5),
+            round(self._runner.latency.step_s(self._runner.token_gap_s(now)), 5),
+            round(self._runner.latency.first_token_s, 5),
             self._health.healthy,
             self._leaving,
             self._holder.revision,
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/_deployment.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/_deployment.py
@@ -177,7 +177,7 @@
         async with self.post(path, body, **headers) as response:
             return response.status, await response.json()
 
-    async def wait_for_busy_slot(self) -> Slot:
+    async def wait_for_answering_slot(self) -> Slot:
         """Wait until an answer is under way, and return its slot.
 
         One look tells both: between two of them a short answer can end.
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_dispatcher.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_dispatcher.py
@@ -22,10 +22,10 @@
     "engines", snapshot, "medeu", clock, random.Random(1), AdmissionController(), lambda vm: True
 )
 organisation = SimpleNamespace(name="north")
-asked = SimpleNamespace(
+spec = SimpleNamespace(
     request="r", organisation=organisation, service_class=draft, deadline=9.0, prefix=()
 )
-call = SimpleNamespace(asked=asked, started_at=0.0, delivered=[], avoid=set(), link=None)
+call = SimpleNamespace(spec=spec, started_at=0.0, delivered=[], avoid=set(), link=None)
 dispatcher.submit(call, 0.0)
 print(len(dispatcher.queue))
 """
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_end_of_stopping.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_end_of_stopping.py
@@ -23,7 +23,7 @@
         asking = asyncio.create_task(running.ask("/v1/chat/completions", body))
         slot = running.slots[0]
         await until(lambda: slot.describe()["running"])
-        await running.entries[0]._cut_all("the limit of the shutdown was reached")
+        await running.entries[0]._abort_all("the limit of the shutdown was reached")
         status, error = error_of(await asking)
     assert (status, error["run"]) == (504, "unknown")
 
@@ -32,8 +32,8 @@
     """Guards against a stream that ends early and looks whole."""
     async with deployment(engines=1, base_step_s=0.02) as running:
         asking = asyncio.create_task(running.ask_stream(chat_body("ceremony", True) | LONG))
-        await running.wait_for_busy_slot()
-        await running.entries[0]._cut_all("the limit of the shutdown was reached")
+        await running.wait_for_answering_slot()
+        await running.entries[0]._abort_all("the limit of the shutdown was reached")
         _, whole, error = await asking
     assert not whole
     assert error["run"] == "unknown"
@@ -49,7 +49,7 @@
         await until(lambda: len(dispatcher.queue) >= 4)
         asking = asyncio.create_task(running.ask("/v1/chat/completions", chat_body() | LONG))
         await until(lambda: entry._held() == 17)
-        await entry._cut_all("the limit of the shutdown was reached")
+        await entry._abort_all("the limit of the shutdown was reached")
         status, error = error_of(await asking)
         await asyncio.gather(*filling, return_exceptions=True)
     assert (status, error["run"]) == (503, "not_run")
@@ -67,7 +67,7 @@
         )
         writer.write(head.encode() + b'{"model"')
         await until(lambda: entry._held() == 1)
-        await entry._cut_all("the limit of the shutdown was reached")
+        await entry._abort_all("the limit of the shutdown was reached")
         async with asyncio.timeout(20):
             received = await reader.readuntil(b"\r\n\r\n")
             body = await reader.readuntil(b"}}")
@@ -99,6 +99,6 @@
         running.services[0].delay_s = 5.0
         asking = asyncio.create_task(running.ask("/services/booking/holds", {"chapel": 1}))
         await until(lambda: running.slot("service-1").describe()["running"])
-        await running.entries[0]._cut_all("the limit of the shutdown was reached")
+        await running.entries[0]._abort_all("the limit of the shutdown was reached")
         status, error = error_of(await asking)
     assert (status, error["run"]) == (504, "unknown")
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_failures.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_failures.py
@@ -116,7 +116,7 @@
     async with deployment(base_step_s=0.02) as running:
         body = chat_body("ceremony", stream=True, max_tokens=100)
         reading = asyncio.create_task(running.ask_stream(body))
-        busy = await running.wait_for_busy_slot()
+        busy = await running.wait_for_answering_slot()
         engine = running.engines[running.slots.index(busy)]
         stopping = asyncio.create_task(busy.stop())
         await asyncio.sleep(0)
@@ -237,7 +237,7 @@
         others = [{**chat_body(f"draft {n}", True, 600), "min_tokens": 100} for n in range(12)]
         filling = [asyncio.create_task(running.ask_stream(other)) for other in others]
         await until(lambda: len(dispatcher.queue) >= 2)
-        link.give_up(call)
+        link.cancel_attempt(call)
         call.inbox.put(Failed(*call.attempt_key, ErrorKind.UPSTREAM_FAILED, "", True))
         text, whole, error = await reading
         assert (whole, error) == (True, None)
@@ -294,11 +294,11 @@
         (call,) = link._attempts.values()
         for _ in range(5):
             link = call.link
-            link.give_up(call)
+            link.cancel_attempt(call)
             call.inbox.put(NotRun(*call.attempt_key, ErrorKind.NO_PLACE))
             await until(lambda: call.link is not None and call.link.outstanding)
         failed = call.link
-        failed.give_up(call)
+        failed.cancel_attempt(call)
         call.inbox.put(Failed(*call.attempt_key, ErrorKind.UPSTREAM_FAILED, "", True))
         text, whole, error = await reading
         assert (whole, error) == (True, None)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_no_hidden_repeat.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_no_hidden_repeat.py
@@ -48,8 +48,8 @@
     server = await asyncio.start_server(upstream.serve, "127.0.0.1", 0)
     sessions = UpstreamSessions()
     if keeps_connections:
-        await sessions.fresh.close()
-        sessions.fresh = sessions.kept
+        await sessions.unpooled.close()
+        sessions.unpooled = sessions.pooled
     port = server.sockets[0].getsockname()[1]
     try:
         yield upstream, ServiceClient(f"http://127.0.0.1:{port}", sessions)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
@@ -148,7 +148,7 @@
     async with deployment(base_step_s=0.02) as running:
         body = chat_body("ceremony", stream=True, max_tokens=100)
         reading = asyncio.create_task(running.ask_stream(body))
-        busy = await running.wait_for_busy_slot()
+        busy = await running.wait_for_answering_slot()
         for peer in list(busy._connected_peers()):
             peer.websocket.transport.abort()
         text, whole, error = await reading
@@ -172,7 +172,7 @@
 
     The slot would end with an error, or not at all, and leave its other connections open.
     """
-    monkeypatch.setattr(_peer, "DRAIN_LIMIT_S", 0.01)
+    monkeypatch.setattr(_peer, "DRAIN_TIMEOUT_S", 0.01)
     async with deployment(engines=1) as running:
         slot = running.slots[0]
         port = slot.port
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_return.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_return.py
@@ -21,7 +21,7 @@
 from burdockquay_transport import setup_logging
 from burdockquay_transport._clock import Clock
 from burdockquay_transport._config_sync import ConfigurationSync
-from burdockquay_transport._once_era import EraFollower
+from burdockquay_transport._era_follower import EraFollower
 
 HOLD = "/services/booking/holds"
 LIMIT_S = 20.0
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_targets.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_targets.py
@@ -23,7 +23,7 @@
         def count(listed):
             chosen.clear()
             for _ in range(3):
-                entry._take_list(list(listed))
+                entry._apply_vm_list(list(listed))
             return len(chosen)
 
         count(entries)
