--- a/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
@@ -53,7 +53,7 @@
 CLOSE_TIMEOUT_S = 0.3
 """Longest wait for connections to close with the process, seconds; their answers are written."""
 
-_PASSED_HEADERS = ("Content-Type", "Accept")
+_FORWARDED_HEADERS = ("Content-Type", "Accept")
 """Request headers that are forwarded to the upstream."""
 
 _REQUEST_ID: web.RequestKey[str] = web.RequestKey("request_id", str)
@@ -263,7 +263,11 @@
             entry.snapshot.classes[route.class_name],
             request.method,
             path,
-            [[name, request.headers[name]] for name in _PASSED_HEADERS if name in request.headers],
+            [
+                [name, request.headers[name]]
+                for name in _FORWARDED_HEADERS
+                if name in request.headers
+            ],
             body,
             chat is not None and chat.stream,
             entry.now() + self._read_deadline(request),
--- a/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
@@ -107,7 +107,7 @@
     @property
     def ready(self) -> bool:
         """Whether any slot accepts work."""
-        return any(link.takes_work for link in self.links.values())
+        return any(link.accepts_work for link in self.links.values())
 
     def configure(self, snapshot: Snapshot, now: float) -> None:
         """Apply a new configuration; waiting calls keep their order of arrival."""
@@ -280,7 +280,7 @@
     def _usable_links(self, now: float) -> list[SlotLink]:
         """Return the slots that may receive work; ejected ones only if there are no others."""
         usable = [
-            link for link in self.links.values() if link.takes_work and self.is_usable(link.vm)
+            link for link in self.links.values() if link.accepts_work and self.is_usable(link.vm)
         ]
         ejected = self.health.ejected(now)
         return [link for link in usable if link.vm not in ejected] or usable
--- a/packages/burdockquay-transport/src/burdockquay_transport/_log_pipe.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_log_pipe.py
@@ -9,7 +9,7 @@
 
 import logbook
 
-MAX_WAITING_BYTES = 1 << 18
+MAX_BUFFER_BYTES = 1 << 18
 """Limit on the bytes that wait for the reader; at a kilobyte per request, seconds of traffic."""
 
 FLUSH_INTERVAL_S = 0.05
@@ -88,7 +88,7 @@
         self.now = now
         self.describe = describe
         self._limiter = LineLimiter(LINES_PER_S)
-        self._waiting = bytearray()
+        self._buffer = bytearray()
         self._timer: asyncio.TimerHandle | None = None
         os.set_blocking(fd, False)
 
@@ -97,10 +97,10 @@
         if not self._limiter.allows(event, self.now()):
             return
         data = line.encode("utf-8", "replace") + b"\n"
-        if len(self._waiting) + len(data) > MAX_WAITING_BYTES:
+        if len(self._buffer) + len(data) > MAX_BUFFER_BYTES:
             self._limiter.record_dropped(event)
             return
-        self._waiting += data
+        self._buffer += data
         self._flush_soon()
 
     def flush(self) -> None:
@@ -108,14 +108,14 @@
         self._timer = None
         self._report_held_back()
         try:
-            written = os.write(self.fd, self._waiting) if self._waiting else 0
+            written = os.write(self.fd, self._buffer) if self._buffer else 0
         except BlockingIOError:
             written = 0
         except OSError:
             # The reader has closed the pipe, so the lines are dropped.
-            written = len(self._waiting)
-        del self._waiting[:written]
-        if self._waiting:
+            written = len(self._buffer)
+        del self._buffer[:written]
+        if self._buffer:
             self._flush_soon()
 
     def _flush_soon(self) -> None:
@@ -131,17 +131,17 @@
     def flush_once(self) -> None:
         """Write as much as the reader accepts now, without scheduling the rest."""
         try:
-            written = os.write(self.fd, self._waiting)
+            written = os.write(self.fd, self._buffer)
         except OSError:
             written = 0
-        del self._waiting[:written]
+        del self._buffer[:written]
 
     def _report_held_back(self) -> None:
-        if len(self._waiting) > MAX_WAITING_BYTES // 2:
+        if len(self._buffer) > MAX_BUFFER_BYTES // 2:
             return
         held_back = self._limiter.pop_held_back()
         if held_back:
-            self._waiting += self.describe(held_back).encode() + b"\n"
+            self._buffer += self.describe(held_back).encode() + b"\n"
 
 
 class PipeHandler(logbook.Handler):
--- a/packages/burdockquay-transport/src/burdockquay_transport/_metrics.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_metrics.py
@@ -276,8 +276,8 @@
             self._client.close()
             self._client = None
 
-    def _accepts_name(self, figures: dict, name: str) -> bool:
-        if name in figures or len(figures) < MAX_NAMES:
+    def _accepts_name(self, metrics: dict, name: str) -> bool:
+        if name in metrics or len(metrics) < MAX_NAMES:
             return True
         self._counts[NAMES_DROPPED] = self._counts.get(NAMES_DROPPED, 0) + 1
         return False
--- a/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
@@ -437,7 +437,9 @@
     hello = received.ok()
     version = choose_version(PROTOCOL_VERSIONS, hello.versions)
     if version is None:
-        return Err(f"no common protocol version: ours {PROTOCOL_VERSIONS}, got {hello.versions}")
+        return Err(
+            f"no common protocol version: expected one of {PROTOCOL_VERSIONS}, got {hello.versions}"
+        )
     nonce = secrets.token_bytes(NONCE_BYTES)
     proof = make_proof(key, "slot", identity.vm, identity.incarnation, nonce, hello.nonce)
     welcome = Welcome(
--- a/packages/burdockquay-transport/src/burdockquay_transport/_service_client.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_service_client.py
@@ -16,7 +16,7 @@
     upstream_clients,
 )
 
-_PASSED_HEADERS = ("content-type", "location", "etag", "cache-control", "retry-after")
+_FORWARDED_HEADERS = ("content-type", "location", "etag", "cache-control", "retry-after")
 """Headers of an answer that are forwarded to callers."""
 
 
@@ -30,7 +30,7 @@
             async with self._request(run) as response:
                 headers = [
                     [name, response.headers[name]]
-                    for name in _PASSED_HEADERS
+                    for name in _FORWARDED_HEADERS
                     if name in response.headers
                 ]
                 yield AnswerHead(response.status, headers)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
@@ -124,7 +124,7 @@
         return self.connection is not None and not self.connection.closing
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Whether the slot reports that it accepts new work."""
         status = self.status
         return self.connected and status is not None and status.healthy and not status.leaving
--- a/packages/burdockquay-transport/src/burdockquay_transport/_take_in.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_take_in.py
@@ -8,7 +8,7 @@
 
 from ._early_listener import BACKLOG
 
-READ_ROUNDS = 3
+READ_ITERATIONS = 3
 """Iterations of the event loop until all data in the sockets is read and its handling has begun:
 one to read, one to wake the task of the connection, one for that task."""
 
@@ -35,5 +35,5 @@
 
 async def read_what_came() -> None:
     """Let the event loop read the data in the sockets and begin to handle it."""
-    for _ in range(READ_ROUNDS):
+    for _ in range(READ_ITERATIONS):
         await asyncio.sleep(0)
--- a/packages/burdockquay-transport/src/burdockquay_transport/slot.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/slot.py
@@ -276,8 +276,8 @@
     def _on_demand(self, peer: PeerConnection, message: Demand) -> None:
         now = self._clock.now()
         # A slot that accepts no work must not send grants.
-        takes_work = not self._leaving and self._health.healthy
-        classes = message.classes if takes_work else []
+        accepts_work = not self._leaving and self._health.healthy
+        classes = message.classes if accepts_work else []
         self._scheduler.set_demand(peer.peer.incarnation, classes, now)
         self._runner.run_scheduler(now)
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/_deployment.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/_deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment inside the test's process: stand-ins, slots and entries on loopback."""
+"""Small deployment inside the test process: stand-ins, slots and entries on loopback."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 async def put_records(log: RecordLog, records: list[Any]) -> int:
-    """Put records into the log in order and return the last revision."""
+    """Put records into the log one by one and return the last revision."""
     revision = 0
     for record in records:
         found = (await log.get(record.kind, record.name)).ok()
@@ -62,7 +62,7 @@
 
 
 class Deployment:
-    """Stand-ins and our processes' objects, started and stopped together."""
+    """Stand-ins, slots and entries that are started and stopped together."""
 
     def __init__(
         self,
@@ -106,8 +106,8 @@
             await standin.stop()
 
     def is_connected(self, entry: Entry) -> bool:
-        """Whether an entry is ready and connected to every slot."""
-        # Both sides must say so: an entry is through with the handshake before the slot is.
+        """Return whether an entry is ready and connected to every slot."""
+        # Checked on both sides, since an entry completes the handshake before the slot does.
         connected = [member for member in entry.describe()["members"] if member["connected"]]
         peers = [member["vm"] for slot in self.slots for member in slot.describe()["members"]]
         is_known = peers.count(entry.identity.vm) == len(self.slots)
@@ -130,7 +130,7 @@
         return service
 
     async def add_slot(self, vm: str, group: str, upstream_url: str) -> Slot:
-        """Start a slot and list it."""
+        """Start a slot and add it to the VM list."""
         settings = SlotSettings(
             vm,
             "north",
@@ -150,7 +150,7 @@
         return slot
 
     async def add_entry(self, vm: str, **parts: Any) -> Entry:
-        """Start an entry and list it."""
+        """Start an entry and add it to the VM list."""
         settings = EntrySettings(
             vm,
             "north",
@@ -178,13 +178,13 @@
             return response.status, await response.json()
 
     async def wait_for_answering_slot(self) -> Slot:
-        """Wait until an answer is under way, and return its slot.
+        """Wait until an answer is being generated, and return its slot.
 
-        One look tells both: between two of them a short answer can end.
+        Engine and slot are checked together, since a short answer can end between two checks.
         """
         found: list[Slot] = []
 
-        def is_under_way() -> bool:
+        def find_answering_slot() -> bool:
             pairs = zip(self.slots, self.engines, strict=True)
             found[:] = [
                 slot
@@ -193,11 +193,11 @@
             ]
             return bool(found)
 
-        await until(is_under_way)
+        await until(find_answering_slot)
         return found[0]
 
     async def ask_stream(self, body: Any, **headers: str) -> tuple[str, bool, dict | None]:
-        """Return what :func:`read_stream` makes of a streamed chat."""
+        """Return the result of :func:`read_stream` for a streamed chat."""
         async with self.post("/v1/chat/completions", body, **headers) as response:
             return await read_stream(response)
 
@@ -210,7 +210,7 @@
         return f"http://127.0.0.1:{self.entries[entry].port}{path}"
 
     def post(self, path: str, body: Any, entry: int = 0, **headers: str):
-        """Post JSON with the API key; a context manager as of aiohttp."""
+        """Post JSON with the API key; return the context manager of aiohttp."""
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         return self.session.post(
             self.url(path, entry),
@@ -220,14 +220,15 @@
 
 
 def callers_requests(engine: EngineStandin) -> list[str]:
-    """Return the ids of the requests that an engine started, without the slot's own probes."""
+    """Return the ids of the callers' requests that an engine started, without probes."""
     return [request for request in engine.starts if not request.startswith("engine-")]
 
 
 def is_answering(engine: EngineStandin, tokens: int) -> bool:
-    """Return whether an engine has begun a caller's request and generated more than some tokens.
+    """Return whether an engine has a caller's request and generated more than ``tokens`` tokens.
 
-    The slot's own probes generate tokens too, and can do so before the caller's request is there.
+    Both are checked, since the probes of a slot generate tokens too, possibly before the caller's
+    request arrives.
     """
     return bool(callers_requests(engine)) and engine.tokens_generated > tokens
 
@@ -239,24 +240,24 @@
 
 
 async def read_stream(response: aiohttp.ClientResponse) -> tuple[str, bool, dict | None]:
-    """Return the text of a stream, whether it ended properly, and its error event."""
-    text, whole, error = [], False, None
+    """Return the text of a stream, whether it is complete, and its error event."""
+    text, complete, error = [], False, None
     try:
         async for line in response.content:
             if line == b"data: [DONE]\n":
-                whole = True
+                complete = True
             elif line.startswith(b"data: "):
                 event = json.loads(line[6:])
                 error = event.get("error", error)
                 for choice in event.get("choices", []):
                     text.append(choice["delta"].get("content", ""))
     except aiohttp.ClientError:
-        whole = False
-    return "".join(text), whole, error
+        complete = False
+    return "".join(text), complete, error
 
 
 async def until(condition: Any, timeout_s: float = 20.0) -> None:
-    """Wait until a condition holds; a condition that never does fails the test."""
+    """Wait until a condition holds; the test fails at the timeout."""
     async with asyncio.timeout(timeout_s):
         while not condition():
             await asyncio.sleep(0.01)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/conftest.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the transport's tests."""
+"""Fixtures for the tests of the transport."""
 
 import pytest
 
@@ -7,5 +7,5 @@
 
 @pytest.fixture
 def deployment():
-    """A factory of deployments, to be entered by the test."""
+    """Return the class of deployments, which a test enters as a context manager."""
     return Deployment
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_callers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP as client libraries and careless callers use it."""
+"""HTTP server for callers, with client libraries and malformed requests."""
 
 import asyncio
 
@@ -42,10 +42,10 @@
         assert [model.id for model in models.data] == [MODEL]
 
 
-async def test_openai_client_hears_of_an_answer_that_broke_off(deployment, client_of):
-    """The only engine dies in the middle of a streamed answer.
+async def test_openai_client_raises_on_an_interrupted_answer(deployment, client_of):
+    """The only engine crashes in the middle of a streamed answer.
 
-    A program that uses the client library gets an exception and not the end of a stream.
+    The client library must raise an exception, instead of ending the stream normally.
     """
     async with deployment(engines=1, base_step_s=0.005, restart_s=60.0) as running:
         body = {**chat_body("ceremony", stream=True, max_tokens=400), "min_tokens": 200}
@@ -67,10 +67,10 @@
         assert refusal.value.code == "unknown_model"
 
 
-async def test_half_a_request_holds_up_nobody(deployment):
+async def test_incomplete_request_delays_no_other(deployment):
     """A caller sends the head of a request and part of its body, and then nothing more.
 
-    Others are served meanwhile, and nothing of it reaches an engine.
+    Other requests are served meanwhile, and the incomplete one never reaches an engine.
     """
     async with deployment(engines=1) as running:
         reader, writer = await asyncio.open_connection("127.0.0.1", running.entries[0].port)
@@ -99,7 +99,7 @@
         ({}, {"stream": "yes"}, 400, "bad_request"),
     ],
 )
-async def test_wrong_values_are_named(deployment, headers, body, status, kind):
+async def test_invalid_values_are_named(deployment, headers, body, status, kind):
     async with deployment(engines=1) as running:
         answer = await running.ask("/v1/chat/completions", {**chat_body(), **body}, **headers)
         assert (answer[0], answer[1]["error"]["code"]) == (status, kind)
@@ -115,10 +115,10 @@
             assert answer["error"]["run"] == "not_run"
 
 
-async def test_deadline_ends_a_long_answer_truthfully(deployment):
-    """A caller gives two tenths of a second for an answer that takes much longer.
+async def test_deadline_of_a_running_answer_reports_run_unknown(deployment):
+    """A caller sets a deadline of 0.2 s for an answer that takes much longer.
 
-    It hears at the deadline that the request has run in part, and the engine is free again.
+    The error at the deadline reports that the request may have run, and the engine is freed.
     """
     async with deployment(engines=1, base_step_s=0.02) as running:
         body = {**chat_body(max_tokens=600), "min_tokens": 300}
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_no_hidden_repeat.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_client_retries.py
@@ -1,4 +1,4 @@
-"""The client library sends nothing twice and goes nowhere else by itself."""
+"""The client library neither retries requests nor follows redirects by itself."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -16,7 +16,7 @@
 
 
 class RawUpstream:
-    """Answers each request with the next of its answers; closes the connection on None."""
+    """Server that gives one prepared answer per request; closes the connection on None."""
 
     def __init__(self, answers):
         self.answers = list(answers)
@@ -43,11 +43,11 @@
 
 
 @asynccontextmanager
-async def connected(answers, keeps_connections):
+async def connected(answers, reuses_connections):
     upstream = RawUpstream(answers)
     server = await asyncio.start_server(upstream.serve, "127.0.0.1", 0)
     sessions = UpstreamSessions()
-    if keeps_connections:
+    if reuses_connections:
         await sessions.unpooled.close()
         sessions.unpooled = sessions.pooled
     port = server.sockets[0].getsockname()[1]
@@ -79,9 +79,9 @@
 
 
 @pytest.mark.parametrize(("status", "sent"), [(400, False), (503, False), (500, True)])
-async def test_engine_that_fails_inside_a_request_may_have_run_it(status, sent):
-    """An engine answers 500 after it worked on a request. The caller of a request that runs at most
-    once would hear that it was not run, and the next attempt would run it again.
+async def test_engine_error_500_may_have_run_the_request(status, sent):
+    """An engine answers 500 after it processed a request. If that counted as not run, the next
+    attempt would run a request again that may run at most once.
     """
     answer = f"HTTP/1.1 {status} No\r\nContent-Length: 0\r\n\r\n".encode()
     async with connected([answer], False) as (_, service):
@@ -95,14 +95,14 @@
     return [part async for part in client.call(make_run(method), 0)]
 
 
-@pytest.mark.parametrize("keeps_connections", [False, True])
+@pytest.mark.parametrize("reuses_connections", [False, True])
 @pytest.mark.parametrize("method", METHODS)
-async def test_request_on_a_closed_connection_is_not_repeated(method, keeps_connections):
-    """A service reads a request and closes the connection without an answer, also one that had
-    served before. A client that sent the request again would debit twice. The second case keeps
-    connections, so that the guard against repeats is tried and not only the fresh connection.
+async def test_request_on_a_closed_connection_is_not_repeated(method, reuses_connections):
+    """A service reads a request and closes the connection without an answer, also on a reused
+    connection. A client that sent the request again would debit twice. The second case reuses
+    connections, so that it tests the guard against retries and not only the new connection.
     """
-    async with connected([ANSWER, None, ANSWER], keeps_connections) as (upstream, client):
+    async with connected([ANSWER, None, ANSWER], reuses_connections) as (upstream, client):
         await read_all(client, method)
         with pytest.raises(UpstreamError) as raised:
             await read_all(client, method)
@@ -112,8 +112,8 @@
 
 @pytest.mark.parametrize("method", METHODS)
 async def test_redirect_is_passed_on_and_not_followed(method):
-    """A service answers with a redirect. Followed by the client, the call would take effect at a
-    place that nobody claimed it for.
+    """A service answers with a redirect. If the client followed it, the call would take effect at
+    another address than the one it was claimed for.
     """
     async with connected([REDIRECT, ANSWER], False) as (upstream, client):
         head = (await read_all(client, method))[0]
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_clock.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Ticks of a process, busy and idle."""
+"""Tick intervals of a busy and an idle process."""
 
 import asyncio
 
@@ -16,10 +16,10 @@
         return self.time
 
 
-async def test_ticks_become_rare_only_after_a_while_without_work(monkeypatch):
-    """An idle process that woke as often as a busy one would spend its processor on nothing.
+async def test_ticks_become_rare_only_after_an_idle_period(monkeypatch):
+    """An idle process that woke as often as a busy one would waste processor time.
 
-    One that woke rarely between two requests of a burst would be late for the second.
+    A process that woke rarely between two requests of a burst would serve the second one late.
     """
     clock, waits, busy = ManualClock(), [], [True] * 3 + [False] * 200
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_configuration.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""How entries and slots come by their configuration and keep it."""
+"""How entries and slots receive and keep their configuration."""
 
 import attrs
 import logbook
@@ -26,10 +26,10 @@
 
 
 async def test_entries_of_the_old_and_the_new_release_serve_side_by_side(deployment):
-    """A new release with new record schemas rolls out entry by entry.
+    """A release with new record schemas is rolled out entry by entry.
 
-    While records carry both schemas, callers of either entry are served. When an operator leaves
-    the old schema out too early, the old entry goes on with what it had, and says so.
+    While records contain both schemas, both entries serve callers. If an operator omits the old
+    schema too early, the old entry keeps its last configuration and logs that.
     """
     async with deployment(engines=1, entries=0) as running:
         old_class = ClassRecordV1("draft", 10, 2.0, 5.0)
@@ -53,10 +53,10 @@
                 assert response.status == 200
 
 
-async def test_processes_that_start_while_the_table_is_down_take_it_from_peers(deployment):
-    """The table goes down, and an entry is replaced. Its successor has nothing to read.
+async def test_entry_that_starts_while_the_table_is_down_gets_configuration_from_peers(deployment):
+    """An entry is started while the table is down, so it cannot read the configuration.
 
-    It would serve nobody until the table is back; the slots tell it the configuration instead.
+    It would serve no requests until the table recovers; the slots send it the configuration.
     """
     async with deployment(engines=2) as running:
         first = running.entries[0]
@@ -64,7 +64,7 @@
         slots = running.slots
         await until(lambda: all(slot.describe()["revision"] == latest for slot in slots))
         read_table = running.platform.table
-        running.platform.table = None  # every read of the table fails from here on
+        running.platform.table = None  # every read of the table fails from now on
         second = await running.add_entry("second")
         await until(lambda: second.ready)
         assert second.snapshot == first.snapshot
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_counted_requests.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_counted_requests.py
@@ -1,4 +1,4 @@
-"""What an entry counts of the requests of its callers."""
+"""Counters of an entry for callers' requests and tokens."""
 
 from burdockquay_standins import expected_answer
 from burdockquay_transport import MemorySink
@@ -24,10 +24,10 @@
     assert len(sink.timings["classes.draft.whole"]) == 1
 
 
-async def test_tokens_of_an_answer_that_is_not_finished_are_counted_as_wasted(deployment):
-    """The only engine crashes while it answers, and the caller's text breaks off.
+async def test_tokens_of_an_incomplete_answer_are_counted_as_wasted(deployment):
+    """The only engine crashes while it answers, so the answer stays incomplete.
 
-    Without the count, the partners who share the bill would not see what the crashes cost.
+    The count shows the organisations that share the costs how much the crashes cost.
     """
     async with deployment(engines=1, base_step_s=0.005, restart_s=60.0) as running:
         (entry,) = running.entries
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_dispatcher.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_dispatcher.py
@@ -32,15 +32,15 @@
 
 
 @pytest.mark.parametrize("kind", upstream_clients.names())
-def test_an_entry_knows_which_upstreams_can_pause(kind):
+def test_pausing_kinds_match_the_upstream_clients(kind):
     assert upstream_clients.get(kind).can_pause == (kind in PAUSING_KINDS)
 
 
-def test_an_entry_that_has_loaded_no_upstream_client_takes_routine_work():
-    """An entry process loads less than a test run does, where the upstreams' clients are at hand.
+def test_entry_without_upstream_clients_accepts_routine_requests():
+    """An entry process loads fewer modules than a test run, which has loaded the upstream clients.
 
-    Once the entry looked for such a client, and every routine request was answered with an
-    internal error, while all tests passed.
+    An entry that looked up such a client answered every routine request with an internal error,
+    while all tests passed.
     """
     done = subprocess.run(
         [sys.executable, "-c", SUBMIT], capture_output=True, text=True, timeout=60
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_end_of_stopping.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_end_of_stopping.py
@@ -1,4 +1,4 @@
-"""What callers of an entry get at the moment in which the time for a planned stop is over."""
+"""Answers to callers of an entry when a graceful shutdown reaches its time limit."""
 
 import asyncio
 import json
@@ -16,8 +16,8 @@
     return status, body["error"]
 
 
-async def test_chat_that_an_engine_has_is_told_that_it_may_have_run(deployment):
-    """Guards against a close without an answer before the first token of an answer."""
+async def test_chat_at_an_engine_gets_run_unknown(deployment):
+    """Guards against a connection that closes without an answer before the first token."""
     async with deployment(engines=1, base_step_s=0.02, prefill_block_s=1.0) as running:
         body = chat_body("ceremony") | LONG
         asking = asyncio.create_task(running.ask("/v1/chat/completions", body))
@@ -28,19 +28,19 @@
     assert (status, error["run"]) == (504, "unknown")
 
 
-async def test_stream_that_has_begun_is_told_that_it_broke_off(deployment):
-    """Guards against a stream that ends early and looks whole."""
+async def test_started_stream_gets_an_error_event(deployment):
+    """Guards against an interrupted stream that looks complete."""
     async with deployment(engines=1, base_step_s=0.02) as running:
         asking = asyncio.create_task(running.ask_stream(chat_body("ceremony", True) | LONG))
         await running.wait_for_answering_slot()
         await running.entries[0]._abort_all("the limit of the shutdown was reached")
-        _, whole, error = await asking
-    assert not whole
+        _, complete, error = await asking
+    assert not complete
     assert error["run"] == "unknown"
 
 
-async def test_chat_that_waits_for_a_place_is_refused_as_not_run(deployment):
-    """Guards against a close without an answer of a request that nobody has begun."""
+async def test_queued_chat_is_refused_as_not_run(deployment):
+    """Guards against a connection that closes without an answer to a queued request."""
     async with deployment(engines=1, base_step_s=0.02) as running:
         entry = running.entries[0]
         dispatcher = entry.dispatcher("drafting")
@@ -56,8 +56,8 @@
     assert error["retry_after_s"] > 0
 
 
-async def test_request_whose_body_is_half_read_is_refused_as_not_run(deployment):
-    """Guards against a close without an answer while the body of a request is still coming."""
+async def test_request_with_a_partial_body_is_refused_as_not_run(deployment):
+    """Guards against a connection that closes without an answer while a body is being received."""
     async with deployment(engines=1) as running:
         entry = running.entries[0]
         reader, writer = await asyncio.open_connection("127.0.0.1", entry.port)
@@ -76,8 +76,8 @@
     assert json.loads(body)["error"]["run"] == "not_run"
 
 
-async def test_all_that_wait_to_be_accepted_are_refused(deployment):
-    """Guards against resets of connections that a busy entry has not accepted when it ends."""
+async def test_connections_in_the_accept_queue_are_answered(deployment):
+    """Guards against resets of connections that a busy entry has not accepted when it closes."""
     async with deployment(engines=1) as running:
         entry = running.entries.pop()
         head = f"GET /v1/models HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer {API_KEY}\r\n\r\n"
@@ -93,8 +93,8 @@
     assert all(answer.startswith(b"HTTP/1.1 ") for answer in answers)
 
 
-async def test_order_that_runs_at_the_end_is_told_that_it_may_have_run(deployment):
-    """Guards against "not run" for a request that must not be repeated and is under way."""
+async def test_running_service_request_gets_run_unknown(deployment):
+    """Guards against "not run" for a running request that must not be repeated."""
     async with deployment(engines=1, services=1) as running:
         running.services[0].delay_s = 5.0
         asking = asyncio.create_task(running.ask("/services/booking/holds", {"chapel": 1}))
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_whole_path.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""A request from the caller through entry and slot to the upstream and back."""
+"""Requests from the caller through entry and slot to the upstream and back."""
 
 import asyncio
 import json
@@ -9,10 +9,10 @@
 from ._deployment import API_KEY, chat_body, is_answering, put_records, read_stream, until
 
 PATIENT_S = 600.0
-"""Time that nothing in a test takes."""
+"""Patience that no test exhausts, seconds."""
 
 
-async def test_plain_chat_answer_is_whole(deployment):
+async def test_plain_chat_answer_is_complete(deployment):
     async with deployment() as running:
         body = chat_body("dosage")
         async with running.post("/v1/chat/completions", body) as response:
@@ -27,8 +27,8 @@
 async def test_streamed_chat_answers_do_not_mix(deployment):
     """Thirty streams wait for eight places at once.
 
-    Their class bears any wait here: where the process stood still for five seconds, streams were
-    refused as not run, which is right and not what this test is about.
+    Their class has a long patience here: when the process stalled for five seconds, streams were
+    refused as not run, which is correct but not the subject of this test.
     """
     async with deployment() as running:
         patient = ClassRecord("draft", 10, 2.0, 0.1, PATIENT_S, 0.3)
@@ -39,8 +39,8 @@
             body = chat_body(f"eulogy {index}", stream=True)
             async with running.post("/v1/chat/completions", body) as response:
                 assert response.status == 200, await response.text()
-                text, whole, error = await read_stream(response)
-            assert (whole, error) == (True, None)
+                text, complete, error = await read_stream(response)
+            assert (complete, error) == (True, None)
             assert text == "".join(expected_answer(body, seed=1))
 
         await asyncio.gather(*(ask(index) for index in range(30)))
@@ -71,11 +71,10 @@
         assert sum(running.services[0].effects.values()) == 1
 
 
-async def test_engine_crash_mid_answer_leaves_neither_gap_nor_repeat(deployment):
-    """An engine dies while it streams an answer to a caller.
+async def test_engine_crash_during_an_answer_causes_neither_gap_nor_repetition(deployment):
+    """An engine crashes while it streams an answer to a caller.
 
-    Without care the caller sees the answer stop, start again from the beginning, or end as if it
-    were whole.
+    The answer must not stop, start again from the beginning, or end as if it were complete.
     """
     async with deployment(base_step_s=0.005, restart_s=60.0) as running:
         body = chat_body("ceremony", stream=True, max_tokens=400)
@@ -83,36 +82,35 @@
             await until(lambda: any(is_answering(engine, 5) for engine in running.engines))
             busy = max(running.engines, key=lambda engine: engine.tokens_generated)
             busy.crash(60.0)
-            text, whole, error = await read_stream(response)
-        assert (whole, error) == (True, None)
+            text, complete, error = await read_stream(response)
+        assert (complete, error) == (True, None)
         assert text == "".join(expected_answer(body, seed=1))
 
 
-async def test_answer_that_cannot_be_finished_never_ends_properly(deployment):
-    """The only engine dies while it streams an answer.
+async def test_answer_that_cannot_be_completed_ends_with_an_error(deployment):
+    """The only engine crashes while it streams an answer.
 
-    A caller that reads only the text would take half a eulogy for a whole one, if the stream
-    ended like any other.
+    If the stream ended normally, a caller that reads only the text would take it for complete.
     """
     async with deployment(engines=1, base_step_s=0.005, restart_s=60.0) as running:
-        # Long enough to be under way still when a busy process comes to read its beginning.
+        # Long enough to be still running when a busy process reads its beginning.
         body = {**chat_body("ceremony", stream=True, max_tokens=4000), "min_tokens": 2000}
         async with running.post("/v1/chat/completions", body) as response:
-            # An answer of which the caller has nothing may still be refused for its wait.
+            # Before the first token the call could still be refused for its waiting time.
             begin = json.loads((await response.content.readline()).removeprefix(b"data: "))
             running.engines[0].crash(60.0)
-            text, whole, error = await read_stream(response)
-        assert not whole
+            text, complete, error = await read_stream(response)
+        assert not complete
         assert error["code"] == "no_upstream"
         assert error["run"] == "unknown"
         begun = begin["choices"][0]["delta"]["content"]
         assert "".join(expected_answer(body, seed=1)).startswith(begun + text)
 
 
-async def test_caller_that_leaves_frees_its_place(deployment):
+async def test_caller_that_disconnects_frees_its_capacity(deployment):
     """A caller closes its connection in the middle of a long answer.
 
-    If nobody told the engine, it would go on generating for nobody, and others would wait.
+    Without a cancellation the engine would continue to generate, and other requests would wait.
     """
     async with deployment(engines=1, base_step_s=0.005) as running:
         body = chat_body("ceremony", stream=True, max_tokens=4000)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_events.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_events.py
@@ -1,4 +1,4 @@
-"""The catalogue of events and the lines they make."""
+"""Catalogue of events and the format of log lines."""
 
 import ast
 import io
@@ -43,9 +43,9 @@
 
 @given(st.text())
 def test_a_value_is_one_word_of_one_line(value):
-    """A VM names itself with a line break in the name and a whole false event behind it.
+    """The name of a VM contains a line break followed by a forged event.
 
-    Whoever reads the log would believe the event.
+    Unescaped, it would appear in the log as an event of its own.
     """
     line = format_event(Event.PEER_CONNECTED, {"vm": value, "port": 1})
     assert line.isprintable() and line.isascii()
@@ -67,8 +67,8 @@
 
 
 @pytest.mark.parametrize("name", sorted(LINE_FIELDS - {"event"}))
-def test_fields_that_would_replace_what_a_line_tells_of_itself_are_refused(name):
-    """A field takes the place of the level of its line, and no filter by level finds the line."""
+def test_fields_that_would_replace_common_line_fields_are_refused(name):
+    """A field that replaced the level of its line would hide the line from filters by level."""
     with pytest.raises(ValueError, match=name):
         log_event(Event.REQUEST_REFUSED, **{name: "x"})
 
@@ -84,7 +84,7 @@
 
 
 def test_every_event_of_the_catalogue_is_logged_somewhere():
-    """An operator waits for an event that the catalogue promises and no code writes."""
+    """An event in the catalogue that no code writes would mislead operators."""
     paths = [*PACKAGES.glob("*/src/**/*.py"), *(PACKAGES.parent / "platform").glob("src/**/*.py")]
     sources = "".join(path.read_text() for path in paths if "tests" not in path.parts)
     assert [event.name for event in Event if f"Event.{event.name}" not in sources] == []
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_failures.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of upstreams, processes and the platform, as callers notice them."""
+"""Effects on callers of failures of upstreams, processes and the platform."""
 
 import asyncio
 import json
@@ -13,11 +13,11 @@
 HOLD = "/services/booking/holds"
 
 
-async def test_table_outage_refuses_holds_truthfully_and_serves_the_rest(deployment):
+async def test_table_outage_refuses_holds_as_not_run_and_serves_the_rest(deployment):
     """The platform's table does not answer, so no claim can be written.
 
-    An arranger hears at once that the hold was not placed, and it was not; drafts are served from
-    the configuration in force. After the outage holds are placed again.
+    Holds are refused at once as not run, and have indeed not run; drafts are served with the
+    configuration in force. After the outage holds are accepted again.
     """
     async with deployment(engines=1, services=1) as running:
         running.platform.faults.outage = True
@@ -33,9 +33,9 @@
 
 
 async def test_lost_confirmation_of_a_claim_runs_the_hold_once(deployment):
-    """The table writes a claim and the outcome, and loses both confirmations.
+    """The table writes a claim and its outcome, but both confirmations are lost.
 
-    The slot reads its rows back. The arranger gets the answer, and a repeat gets the same one.
+    The slot reads its rows back. The caller gets the answer, and a repeat gets the same answer.
     """
     async with deployment(engines=1, services=1) as running:
         running.platform.faults.lose_next = 2
@@ -46,11 +46,11 @@
         assert running.services[0].effects == {"h-1": 1}
 
 
-async def test_service_that_breaks_off_leaves_the_outcome_unknown(deployment):
-    """The booking service takes a hold and closes the connection without an answer.
+async def test_service_that_closes_without_an_answer_leaves_the_outcome_unknown(deployment):
+    """The booking service receives a hold and closes the connection without an answer.
 
-    Whether the hold was placed cannot be known, so the arranger hears just that, and a repeat of
-    the key never places a second one.
+    It is unknown whether the hold was placed. The error reports that, and a repeat of the key never
+    places a second hold.
     """
     async with deployment(engines=1, services=1) as running:
         running.services[0].cuts["cut_after"] = 1
@@ -61,10 +61,10 @@
         assert running.services[0].effects == {"h-1": 1}
 
 
-async def test_connection_lost_during_a_hold_brings_its_answer_all_the_same(deployment):
-    """The network between entry and slot breaks while the booking service works on a hold.
+async def test_hold_is_answered_after_its_connection_was_lost(deployment):
+    """The connection between entry and slot is lost while the booking service works on a hold.
 
-    The slot finishes and records it; the entry reads the record, and the arranger gets the answer.
+    The slot completes the hold and records its outcome; the entry reads the outcome and answers.
     """
     async with deployment(engines=1, services=1) as running:
         running.services[0].delay_s = 0.3
@@ -77,10 +77,10 @@
         assert running.services[0].effects == {"h-1": 1}
 
 
-async def test_entry_starts_from_its_peers_while_the_table_is_down(deployment):
-    """An entry is replaced during an outage of the table.
+async def test_entry_starts_with_configuration_from_peers_while_the_table_is_down(deployment):
+    """An entry starts during an outage of the table.
 
-    It takes the configuration from the slots, and callers notice nothing of the outage.
+    It receives the configuration from the slots and serves callers as usual.
     """
     async with deployment(engines=1) as running:
         real = running.platform.table
@@ -94,7 +94,7 @@
 
 
 class _Unreadable:
-    """Table of the platform stand-in that answers no call."""
+    """Table for the platform stand-in that fails every call."""
 
     reads = writes = 0
 
@@ -108,10 +108,10 @@
         raise ValueError("the table is down")
 
 
-async def test_slot_that_leaves_finishes_its_answers_and_gets_no_new_ones(deployment):
-    """A slot's VM is replaced while it streams an answer; the VM list does not say so yet.
+async def test_draining_slot_finishes_its_answers_and_gets_no_new_ones(deployment):
+    """A slot is stopped while it streams an answer; the VM list does not show this yet.
 
-    The answer comes to its end, and every request after the signal goes elsewhere.
+    The answer is completed, and every request after the signal goes to another slot.
     """
     async with deployment(base_step_s=0.02) as running:
         body = chat_body("ceremony", stream=True, max_tokens=100)
@@ -124,18 +124,18 @@
         for _ in range(5):
             status, _ = await running.ask("/v1/chat/completions", chat_body())
             assert status == 200
-        text, whole, error = await reading
-        assert (whole, error) == (True, None)
+        text, complete, error = await reading
+        assert (complete, error) == (True, None)
         assert text == "".join(expected_answer(body, seed=1))
         assert len(callers_requests(engine)) == started
         await stopping
         running.slots.remove(busy)
 
 
-async def test_entry_that_stops_cuts_no_answer(deployment):
-    """An entry's VM is replaced while a caller reads a stream.
+async def test_stopping_entry_completes_its_answers(deployment):
+    """An entry is stopped while a caller reads a stream.
 
-    The stream comes to its end; only then the entry closes.
+    The entry closes only after the stream is complete.
     """
     async with deployment(engines=1, base_step_s=0.005) as running:
         body = chat_body("ceremony", stream=True, max_tokens=60)
@@ -143,15 +143,15 @@
         await until(lambda: is_answering(running.engines[0], 2))
         entry = running.entries.pop()
         await entry.stop()
-        text, whole, _ = await reading
-        assert whole
+        text, complete, _ = await reading
+        assert complete
         assert text == "".join(expected_answer(body, seed=1))
 
 
-async def test_urgent_request_is_not_kept_waiting_by_drafts(deployment):
-    """Drafts fill all places of the only engine when a hold arrives.
+async def test_urgent_request_is_not_delayed_by_drafts(deployment):
+    """Drafts use all capacity of the only engine when a hold arrives.
 
-    A draft is paused for it and later goes on. The drafts lack no word and repeat none.
+    A draft is paused for it and resumed later. No token of the drafts is missing or repeated.
     """
     async with deployment(engines=1, base_step_s=0.01, places=4) as running:
         drafts = [chat_body(f"draft {n}", stream=True, max_tokens=400) for n in range(6)]
@@ -162,20 +162,22 @@
             *(running.ask_stream(body, X_Service_Class="hold") for body in urgent)
         )
         assert any(not task.done() for task in reading)
-        for body, (text, whole, _) in zip(urgent, answers, strict=True):
-            assert whole
+        for body, (text, complete, _) in zip(urgent, answers, strict=True):
+            assert complete
             assert text == "".join(expected_answer(body, seed=1))
-        for body, (text, whole, error) in zip(drafts, await asyncio.gather(*reading), strict=True):
-            assert (whole, error) == (True, None)
+        for body, (text, complete, error) in zip(
+            drafts, await asyncio.gather(*reading), strict=True
+        ):
+            assert (complete, error) == (True, None)
             assert text == "".join(expected_answer(body, seed=1))
         assert running.slots[0].describe()["protected_shed"] == 0
 
 
 async def test_poison_request_is_quarantined_and_its_neighbours_are_not(deployment):
-    """One request crashes each engine that runs it, and its caller sends it again and again.
+    """One request crashes each engine that runs it, and its caller keeps repeating it.
 
-    It is refused after it has crashed a few engines, while those who ran beside it get their
-    answers.
+    It is refused after it has crashed a few engines. Requests that ran concurrently with it get
+    complete answers.
     """
     async with deployment(
         engines=4, base_step_s=0.005, poison_marker="POISON", restart_s=0.1
@@ -189,18 +191,18 @@
             codes.append(answer["error"]["code"])
         assert codes[-1] == "quarantined"
         assert sum(engine.crashes for engine in running.engines) <= 3
-        for body, (text, whole, error) in zip(
+        for body, (text, complete, error) in zip(
             bystanders, await asyncio.gather(*reading), strict=True
         ):
-            assert (whole, error) == (True, None)
+            assert (complete, error) == (True, None)
             assert text == "".join(expected_answer(body, seed=1))
 
 
-async def test_answer_that_broke_off_is_not_given_up_for_its_age(deployment):
-    """An engine dies when an answer has been under way for longer than its class would wait for
-    a place, and the other engine is full.
+async def test_interrupted_answer_is_not_refused_for_its_age(deployment):
+    """An engine crashes when an answer has been running for longer than the patience of its class,
+    and the other engine has no free capacity.
 
-    If the time of the answer counted as waiting, the caller would lose all it has read.
+    If the running time counted as waiting, the call would be refused and its answer lost.
     """
     async with deployment(engines=2, base_step_s=0.01, restart_s=60.0) as running:
         record = ClassRecord("draft", 10, 2.0, 0.1, 0.5, 0.3)
@@ -216,16 +218,16 @@
         filling = [asyncio.create_task(running.ask_stream(other)) for other in others]
         await until(lambda: sum(slot.describe()["running"] for slot in running.slots) >= 6)
         first.crash(60.0)
-        text, whole, error = await reading
-        assert (whole, error) == (True, None)
+        text, complete, error = await reading
+        assert (complete, error) == (True, None)
         assert text == "".join(expected_answer(body, seed=1))
         await asyncio.gather(*filling)
 
 
 async def test_request_that_failed_at_an_upstream_is_not_granted_a_place_there(deployment):
-    """An engine breaks off an answer but goes on living, and grants a place right afterwards.
+    """An engine fails an answer but stays up, and its slot sends a grant right afterwards.
 
-    The caller's answer would break off there again and again.
+    The answer would fail there repeatedly.
     """
     async with deployment(engines=2, base_step_s=0.01) as running:
         dispatcher = running.entries[0].dispatcher("drafting")
@@ -239,18 +241,17 @@
         await until(lambda: len(dispatcher.queue) >= 2)
         link.cancel_attempt(call)
         call.inbox.put(Failed(*call.attempt_key, ErrorKind.UPSTREAM_FAILED, "", True))
-        text, whole, error = await reading
-        assert (whole, error) == (True, None)
+        text, complete, error = await reading
+        assert (complete, error) == (True, None)
         assert text == "".join(expected_answer(body, seed=1))
         assert call.link is not link
         await asyncio.gather(*filling)
 
 
-async def test_entry_that_leaves_serves_until_the_balancer_has_noticed(deployment):
-    """An entry's VM is replaced, and the balancer sends it requests until it looks at the
-    readiness again.
+async def test_draining_entry_serves_until_the_balancer_has_noticed(deployment):
+    """An entry is stopped, and the load balancer sends it requests until its next readiness check.
 
-    Their callers would get refused connections, although other entries are there.
+    Their callers would get refused connections, although other entries are available.
     """
     async with deployment(engines=1, leave_delay_s=0.5) as running:
         (entry,) = running.entries
@@ -265,9 +266,9 @@
 
 
 async def test_repeat_of_a_hold_that_was_not_run_is_run(deployment):
-    """A hold was cancelled before any slot had claimed it, and its caller heard "not run".
+    """A hold was cancelled before any slot had claimed it, and its caller got "not run".
 
-    The caller repeats it with the same key, as it was told it may, and the hold is placed.
+    After that answer the caller may repeat the hold with the same key, and the hold is placed.
     """
     async with deployment(engines=1, services=1) as running:
         entry = running.entries[0]
@@ -280,10 +281,10 @@
         assert running.services[0].effects == {"h-1": 1}
 
 
-async def test_call_that_met_full_slots_is_still_tried_again_after_a_crash(deployment):
-    """A call was refused by full slots several times before an engine took it and died.
+async def test_call_refused_by_full_slots_is_still_retried_after_a_crash(deployment):
+    """A call was refused by full slots several times before an engine ran it and crashed.
 
-    Those refusals cost nothing and must not use up the attempts that a crash may need.
+    The refusals cost nothing and must not use up the retries that a crash may need.
     """
     async with deployment(engines=2, base_step_s=0.01) as running:
         dispatcher = running.entries[0].dispatcher("drafting")
@@ -300,6 +301,6 @@
         failed = call.link
         failed.cancel_attempt(call)
         call.inbox.put(Failed(*call.attempt_key, ErrorKind.UPSTREAM_FAILED, "", True))
-        text, whole, error = await reading
-        assert (whole, error) == (True, None)
+        text, complete, error = await reading
+        assert (complete, error) == (True, None)
         assert text == "".join(expected_answer(body, seed=1))
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_health.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Upstreams that are slow, and what was known of crashes before a process began."""
+"""Slow upstreams, and suspicions that outlive processes."""
 
 import asyncio
 import json
@@ -10,11 +10,11 @@
 from ._deployment import callers_requests, chat_body, is_answering, until
 
 
-async def test_straggler_is_left_out_and_comes_back_by_its_own_probes(deployment):
+async def test_straggler_is_ejected_and_returns_by_probes_of_its_slot(deployment):
     """One of four engines becomes fifty times slower, as with a failing accelerator.
 
-    Callers whose answers it generates wait fifty times longer. So it gets no more work until its
-    own slot has measured that it is as fast as the others; no caller's request is used for that.
+    Callers would wait fifty times longer for its answers. It gets no more work until its own slot
+    has measured that it is as fast as the others; no caller's request is used for the measurement.
     """
     async with deployment(engines=4, base_step_s=0.002) as running:
         slow = running.engines[0]
@@ -39,7 +39,7 @@
 async def test_quarantine_outlives_every_process(deployment):
     """All processes are replaced after a request crashed engines; then its caller repeats it.
 
-    It is refused as before, since what was known of it is in the table.
+    It is refused as before, since the suspicion is stored in the table.
     """
     async with deployment(engines=1) as running:
         body = chat_body("POISON")
@@ -60,11 +60,11 @@
     return digest_request("parish", "POST", "/v1/chat/completions", json.dumps(body).encode())
 
 
-async def test_answer_that_a_crash_broke_is_tried_again_apart(deployment, monkeypatch):
+async def test_answer_interrupted_by_a_crash_is_retried_apart(deployment, monkeypatch):
     """An engine crashes while it runs several requests, each of which may be the cause.
 
-    If one of them were tried again before the entry has heard of the crash, it would run beside
-    others, and the next crash would name nobody.
+    If one of them were retried before the entry has received the report of the crash, it would run
+    together with others, and the next crash would not identify the cause either.
     """
     accepted = []
     original = SlotRunner.accept
@@ -79,8 +79,8 @@
         reading = [asyncio.create_task(running.ask_stream(body)) for body in bodies]
         await until(lambda: any(is_answering(engine, 20) for engine in running.engines))
         max(running.engines, key=lambda engine: len(engine.batch.running)).crash(60.0)
-        for _, whole, _ in await asyncio.gather(*reading):
-            assert whole
-        again = [run for run in accepted if run.attempt > 1]
-        assert again
-        assert all(run.apart for run in again)
+        for _, complete, _ in await asyncio.gather(*reading):
+            assert complete
+        retries = [run for run in accepted if run.attempt > 1]
+        assert retries
+        assert all(run.apart for run in retries)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_logged_life.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_lifecycle_events.py
@@ -1,4 +1,4 @@
-"""What the log tells of the life of processes and connections."""
+"""Log events about the life cycle of processes and connections."""
 
 import io
 
@@ -17,10 +17,10 @@
     handler.pop_application()
 
 
-async def test_log_tells_when_processes_are_ready_leave_and_cannot_be_reached(deployment, log):
-    """One slot leaves as planned and another vanishes; the entry must name each in its log, once.
+async def test_readiness_draining_and_unreachable_slots_are_logged_once(deployment, log):
+    """One slot shuts down gracefully and another disappears; the entry logs each of them once.
 
-    An operator would otherwise search the reason of refused requests in the dark.
+    Without these lines an operator could not find the cause of refused requests.
     """
     async with deployment(engines=2) as running:
         await until(lambda: log.getvalue().count("E1003 process_ready") == 3)
@@ -28,7 +28,7 @@
         left, vanished = leaving.identity.vm, vanishing.identity.vm
         await leaving.stop()
         await until(lambda: f"E1302 peer_disconnected vm={left}" in log.getvalue())
-        # One that said that it leaves may be dialled once more, or is off the list before that.
+        # A draining slot may be reconnected to once more, or is removed from the list before that.
         await vanishing.close()
         await until(lambda: f"E1309 peer_unreachable vm={vanished}" in log.getvalue())
         lines = log.getvalue().splitlines()
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_log_pipe.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_log_pipe.py
@@ -1,4 +1,4 @@
-"""Log lines on a pipe."""
+"""Log lines written to a pipe."""
 
 import json
 import os
@@ -6,7 +6,7 @@
 import pytest
 
 from burdockquay_transport import Event, log_event, setup_json_logging
-from burdockquay_transport._log_pipe import LINES_PER_S, MAX_WAITING_BYTES, LogPipe
+from burdockquay_transport._log_pipe import LINES_PER_S, MAX_BUFFER_BYTES, LogPipe
 
 
 @pytest.fixture
@@ -40,17 +40,17 @@
         data += piece
 
 
-async def test_reader_that_stops_is_never_waited_for(pipe, pipe_ends, clock):
-    """Whoever reads the log stops reading.
+async def test_stalled_reader_does_not_block_the_process(pipe, pipe_ends, clock):
+    """The reader of the log stops reading.
 
-    Each further line would block the process, and all its requests with it.
+    Each further line would block the process and all its requests.
     """
     line = "x" * 1000
     for second in range(20):
         clock[0] = float(second)
         for _ in range(100):
             pipe.write("E1", line)
-    assert len(pipe._waiting) <= MAX_WAITING_BYTES
+    assert len(pipe._buffer) <= MAX_BUFFER_BYTES
     text = ""
     for _ in range(20):
         text += "\n".join(read_all(pipe_ends[0]))
@@ -60,7 +60,7 @@
     assert 1500 < left_out < 2000
 
 
-async def test_lines_of_one_event_are_bounded_and_the_rest_is_told(pipe, pipe_ends):
+async def test_lines_of_one_event_are_limited_and_the_rest_is_counted(pipe, pipe_ends):
     for _ in range(LINES_PER_S + 50):
         pipe.write("E1", "a line")
     pipe.write("E2", "another")
@@ -72,13 +72,13 @@
     assert json.loads(lines[-1]) == {"left_out": {"E1": 50}}
 
 
-async def test_reader_that_is_gone_stops_nothing(pipe_ends, clock):
+async def test_closed_reader_causes_no_error(pipe_ends, clock):
     read_end, write_end = os.pipe()
     pipe = LogPipe(write_end, lambda: clock[0], str)
     os.close(read_end)
     pipe.write("E1", "a line")
     pipe.flush()
-    assert not pipe._waiting
+    assert not pipe._buffer
     os.close(write_end)
 
 
@@ -105,8 +105,7 @@
 async def test_line_about_another_process_keeps_the_name_of_its_own(pipe_ends):
     """A process logs that a peer connected.
 
-    With the name of the peer in place of its own, a story would miss what its process
-    knew, and tell what others did instead.
+    If the name of the peer replaced its own name, the line would be attributed to the peer.
     """
     handler = setup_json_logging("INFO", pipe_ends[1], vm="edge-1")
     try:
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_metrics.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Sinks of metrics, against a collector on a loopback socket."""
+"""Metrics sinks, tested with a collector on a loopback socket."""
 
 import socket
 from collections import Counter
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("name", metrics_sinks.names())
-def test_every_sink_takes_every_call_and_may_be_closed_twice(name, collector):
+def test_every_sink_accepts_every_call_and_may_be_closed_twice(name, collector):
     sink = metrics_sinks.get(name)(MetricsSettings(port=collector.getsockname()[1]))
     for _ in range(2):
         sink.count("a")
@@ -79,7 +79,7 @@
     ]
 
 
-def test_a_busy_timer_sends_a_bounded_sample_and_says_so(sink, collector):
+def test_a_busy_timer_sends_a_bounded_sample_and_counts_the_rest(sink, collector):
     for _ in range(10 * MAX_SAMPLES):
         sink.timing("t", 0.001)
     sink.flush()
@@ -88,8 +88,8 @@
     assert f"burdockquay.{TIMINGS_DROPPED}:{9 * MAX_SAMPLES}|c" in lines
 
 
-def test_names_made_without_end_are_bounded(sink, collector):
-    """A caller could make up names without end; each would stay in memory until the flush."""
+def test_number_of_names_is_bounded(sink, collector):
+    """A caller could generate any number of names, each kept in memory until the flush."""
     for index in range(MAX_NAMES + 5):
         sink.gauge(f"g{index}", 1)
     sink.count(refusal_counter(ErrorKind.INTERNAL))
@@ -97,10 +97,10 @@
     assert f"burdockquay.{NAMES_DROPPED}:5|c" in received(collector)
 
 
-def test_a_lost_collector_raises_nothing():
-    """The collector is down, so that the system reports the port as unreachable.
+def test_an_unreachable_collector_raises_nothing():
+    """The collector is down, so the system reports its port as unreachable.
 
-    Requests would fail for the sake of their own figures.
+    An exception would fail requests because of their metrics.
     """
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
@@ -118,8 +118,8 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "slot"])
-async def test_a_process_that_stops_sends_the_figures_it_holds(role, collector):
-    """A slot counts a crash of its upstream, is replaced, and nobody ever sees the figure."""
+async def test_a_stopping_process_sends_its_buffered_metrics(role, collector):
+    """Otherwise the count of an upstream crash shortly before a shutdown would be lost."""
     url = "http://127.0.0.1:1"
     metrics = MetricsSettings(sink="statsd", port=collector.getsockname()[1])
     common = ("vm", "domain", "0" * 32, PlatformSettings(url, url, url))
@@ -134,5 +134,5 @@
     assert "burdockquay.upstream.crashed:1|c" in received(collector)
 
 
-def test_a_name_of_a_class_opens_no_level():
+def test_a_class_name_adds_no_level():
     assert timers.whole("a.b:c|d") == "classes.a_b_c_d.whole"
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What an entry and a slot do with peers that break the protocol."""
+"""Peers that violate the protocol, stall or disconnect."""
 
 import asyncio
 import json
@@ -48,44 +48,43 @@
     ],
     ids=["malformed", "unknown type", "missing fields", "out of order", "cut", "text", "oversized"],
 )
-async def test_peer_that_breaks_the_protocol_disturbs_nobody_else(deployment, data):
-    """An entry of a faulty release, or an attacker with the key, sends a slot something else than
-    a message.
+async def test_protocol_violation_affects_no_other_peer(deployment, data):
+    """An entry of a faulty release, or an attacker with the key, sends a slot invalid data.
 
-    Its connection is closed. The answer that another entry's caller is reading goes on.
+    Its connection is closed. The answer to a caller of another entry continues.
     """
     async with deployment(engines=1, base_step_s=0.005) as running:
         body = chat_body("ceremony", stream=True, max_tokens=60)
         reading = asyncio.create_task(running.ask_stream(body))
         await until(lambda: is_answering(running.engines[0], 2))
-        websocket, greeted = await open_peer(running.slots[0])
-        assert greeted.is_ok()
+        websocket, handshake = await open_peer(running.slots[0])
+        assert handshake.is_ok()
         with pytest.raises(ConnectionClosed):
             await websocket.send(data)
             while True:
                 await websocket.recv()
-        text, whole, error = await reading
-        assert (whole, error) == (True, None)
+        text, complete, error = await reading
+        assert (complete, error) == (True, None)
         assert text == "".join(expected_answer(body, seed=1))
 
 
 async def test_peer_without_the_key_is_refused_by_both_sides(deployment):
-    """Somebody who reached the network, but has not got the key, connects to a slot.
+    """A process with access to the network, but without the key, connects to a slot.
 
-    It learns nothing but the refusal and cannot have a request run.
+    It receives only the refusal and cannot run requests.
     """
     async with deployment(engines=1) as running:
-        websocket, greeted = await open_peer(running.slots[0], key="cd" * 32)
-        assert "peer key" in greeted.err()
+        websocket, handshake = await open_peer(running.slots[0], key="cd" * 32)
+        assert "peer key" in handshake.err()
         await websocket.close()
         assert len(running.slots[0].describe()["members"]) == 1
 
 
-async def test_frame_that_is_missing_never_shortens_an_answer(deployment, monkeypatch):
-    """One piece of an answer gets lost between slot and entry.
+async def test_missing_frame_never_shortens_an_answer(deployment, monkeypatch):
+    """One frame of an answer is lost between slot and entry.
 
-    A caller would read a sentence with a word missing. The entry sees it by the number of the next
-    piece, and goes on elsewhere behind what the caller has.
+    A caller would read a text with a missing token. The entry detects it by the sequence number of
+    the next frame, and resumes the answer elsewhere after the tokens that the caller has.
     """
     async with deployment(base_step_s=0.002) as running:
         dropped = []
@@ -101,19 +100,19 @@
 
                 monkeypatch.setattr(peer, "post_frame", post_frame)
         body = chat_body("ceremony", stream=True, max_tokens=60)
-        text, whole, error = await running.ask_stream(body)
+        text, complete, error = await running.ask_stream(body)
         assert dropped
-        assert (whole, error) == (True, None)
+        assert (complete, error) == (True, None)
         assert text == "".join(expected_answer(body, seed=1))
 
 
-async def test_frames_that_come_together_behind_a_missing_one_fail_an_attempt_once(
+async def test_frames_that_arrive_together_after_a_missing_one_fail_an_attempt_once(
     deployment, monkeypatch
 ):
-    """One piece of an answer gets lost, and the next ones arrive at the same moment, as under load.
+    """One frame of an answer is lost, and the next ones arrive together, as under load.
 
-    Each of them is out of order. Counted as so many failures, the first was repeated and the second
-    one ended the call, and its caller got half an answer although the other slot went on with it.
+    Each of them is out of order. When each counted as a failure, the first caused a retry and the
+    second ended the call, and its caller got an incomplete answer although the retry continued it.
     """
     async with deployment(base_step_s=0.002) as running:
         held = []
@@ -134,16 +133,16 @@
 
                 monkeypatch.setattr(peer, "post_frame", post_frame)
         body = chat_body("ceremony", stream=True, max_tokens=60)
-        text, whole, error = await running.ask_stream(body)
+        text, complete, error = await running.ask_stream(body)
         assert done
-        assert (whole, error) == (True, None)
+        assert (complete, error) == (True, None)
         assert text == "".join(expected_answer(body, seed=1))
 
 
-async def test_connection_that_breaks_mid_answer_costs_the_caller_nothing(deployment):
-    """The network between entry and slot breaks while an answer is under way.
+async def test_connection_lost_during_an_answer_is_invisible_to_the_caller(deployment):
+    """The connection between entry and slot is lost during an answer.
 
-    The caller sees neither the break nor a word twice.
+    The caller sees neither an interruption nor a repeated token.
     """
     async with deployment(base_step_s=0.02) as running:
         body = chat_body("ceremony", stream=True, max_tokens=100)
@@ -151,8 +150,8 @@
         busy = await running.wait_for_answering_slot()
         for peer in list(busy._connected_peers()):
             peer.websocket.transport.abort()
-        text, whole, error = await reading
-        assert (whole, error) == (True, None)
+        text, complete, error = await reading
+        assert (complete, error) == (True, None)
         assert text == "".join(expected_answer(body, seed=1))
         await until(lambda: running.is_connected(running.entries[0]))
 
@@ -166,9 +165,11 @@
 
 
 @pytest.mark.parametrize("send", [raise_closed, never_return], ids=["closed", "not reading"])
-async def test_peer_that_is_gone_or_stuck_does_not_spoil_a_shutdown(deployment, monkeypatch, send):
+async def test_disconnected_or_stalled_peer_does_not_block_a_shutdown(
+    deployment, monkeypatch, send
+):
     """Entry and slot are stopped together and the entry closes the connection first, or an entry
-    is paused and reads no more.
+    is suspended and no longer reads.
 
     The slot would end with an error, or not at all, and leave its other connections open.
     """
@@ -184,8 +185,8 @@
             await connect(f"ws://127.0.0.1:{port}", proxy=None)
 
 
-class LeavingWebsocket:
-    """A peer that says hello and is gone."""
+class DisconnectingWebsocket:
+    """Peer that sends a hello and disconnects."""
 
     async def recv(self):
         return encode(Hello([1], "rogue", "north", "rogue-1", bytes(16)))
@@ -194,45 +195,45 @@
         await raise_closed(data)
 
 
-async def test_peer_that_leaves_within_the_handshake_is_refused():
-    """Guards against a traceback in the log for each process that stops while it connects."""
-    accepted = await accept_peer(LeavingWebsocket(), ROGUE, b"key", 0.0, TrafficCounts())
+async def test_peer_that_disconnects_during_the_handshake_is_refused():
+    """Guards against a traceback in the log for every process that stops while it connects."""
+    accepted = await accept_peer(DisconnectingWebsocket(), ROGUE, b"key", 0.0, TrafficCounts())
     assert "closed the connection" in accepted.err()
 
 
-async def test_peer_that_does_not_read_is_cut_off(deployment, monkeypatch):
-    """An entry hangs and reads nothing more, while a slot has answers for it.
+async def test_peer_that_does_not_read_is_disconnected(deployment, monkeypatch):
+    """An entry hangs and no longer reads, while a slot has answers for it.
 
-    Without a bound the slot's memory fills with them, and it takes the answers of all other
-    entries down with it.
+    Without a bound they would fill the memory of the slot, and the answers for all other entries
+    would fail with it.
     """
     monkeypatch.setattr("burdockquay_transport._peer.MAX_PENDING_BYTES", 8 << 20)
     async with deployment(engines=1) as running:
         slot = running.slots[0]
-        websocket, greeted = await open_peer(slot)
-        assert greeted.is_ok()
+        websocket, handshake = await open_peer(slot)
+        assert handshake.is_ok()
         await until(lambda: len(slot._connected_peers()) == 2)
-        (stuck,) = (peer for peer in slot._connected_peers() if peer.peer.vm == "rogue")
+        (stalled,) = (peer for peer in slot._connected_peers() if peer.peer.vm == "rogue")
         websocket.transport.pause_reading()
         for sequence in range(64):
-            stuck.post_frame(Frame("r", 1, sequence, PART_TOKEN, bytes(1 << 20)))
-        await until(lambda: stuck not in slot._connected_peers())
+            stalled.post_frame(Frame("r", 1, sequence, PART_TOKEN, bytes(1 << 20)))
+        await until(lambda: stalled not in slot._connected_peers())
         status, _ = await running.ask("/v1/chat/completions", chat_body())
         assert status == 200
         websocket.transport.abort()
 
 
-async def test_attempt_that_is_cancelled_at_once_gives_its_place_back(deployment):
-    """A caller leaves in the moment its request is sent, so that order and cancellation reach the
-    slot together.
+async def test_attempt_that_is_cancelled_at_once_releases_its_capacity(deployment):
+    """A caller disconnects just when its request is sent, so that the attempt and its cancellation
+    reach the slot together.
 
-    If the slot forgot only what it had begun, the place would stay taken, and after a few such
-    callers the upstream would serve nobody.
+    If the slot released capacity only for attempts whose task has begun, it would leak here, and
+    after a few such callers the upstream would serve no requests.
     """
     async with deployment(engines=1) as running:
         slot = running.slots[0]
-        websocket, greeted = await open_peer(slot)
-        peer = greeted.ok()
+        websocket, handshake = await open_peer(slot)
+        peer = handshake.ok()
         body = json.dumps(chat_body("x", True, 600)).encode()
         for number in range(20):
             request = f"request-{number}"
@@ -266,8 +267,8 @@
 async def test_server_that_was_stopped_before_it_listened_is_closed(monkeypatch):
     """A process is stopped while it opens the port for its peers.
 
-    Closing failed with an AttributeError, so that the process ended with a traceback, and what it
-    closes after its peers stayed open.
+    Closing failed with an AttributeError, so that the process ended with a traceback, and the
+    resources that it closes after its peers stayed open.
     """
     starting = asyncio.Event()
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_platform_http.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_platform_http.py
@@ -1,4 +1,4 @@
-"""The HTTP adapters against a small server over the table in memory, sound and at fault."""
+"""HTTP adapters, tested with a small server over an in-memory table, with and without faults."""
 
 import asyncio
 import base64
@@ -42,7 +42,7 @@
 
 
 class Platform:
-    """A server whose next answer can be replaced."""
+    """Server whose answers can be replaced."""
 
     def __init__(self):
         self.table = MemoryTable()
@@ -124,17 +124,17 @@
     return table_services.get("http")(platform.url, 5.0, session)
 
 
-async def test_table_does_what_the_interface_says(table):
+async def test_table_conforms_to_the_interface(table):
     assert (await table.transact([Put("a", b"\x00\xff", ABSENT), Put("b", b"")])).ok() == [1, 2]
-    row, nothing = (await table.get(["a", "c"])).ok()
-    assert (row.key, row.value, row.version, nothing) == ("a", b"\x00\xff", 1, None)
+    row, absent = (await table.get(["a", "c"])).ok()
+    assert (row.key, row.value, row.version, absent) == ("a", b"\x00\xff", 1, None)
     conflict = (await table.transact([Check("a", 1), Put("b", b"x", ABSENT)])).err()
     assert (conflict.kind, conflict.conflicts) == (TableErrorKind.CONFLICT, (1,))
     assert (await table.transact([Delete("a", 1), Check("b", 2)])).ok() == [None, None]
     assert [row.key for row in (await table.scan("", limit=5)).ok()] == ["b"]
 
 
-async def test_objects_come_back_whole(platform, session):
+async def test_objects_are_returned_unchanged(platform, session):
     store = object_stores.get("http")(platform.url, 5.0, session)
     assert (await store.get("d1")).ok() is None
     assert (await store.put("d1", b"\x00" * 100_000)).is_ok()
@@ -191,12 +191,12 @@
 async def test_a_transaction_without_a_clear_answer_is_uncertain_and_sent_once(
     platform, session, respond, read_error, write_error
 ):
-    """A reply is lost or makes no sense, although the transaction may have been carried out.
+    """A reply is lost or malformed, although the transaction may have been carried out.
 
-    Were it taken for not done, a hold would be placed twice; were it sent again behind our back,
-    the second copy would run into the conflict that the first one made.
+    If it counted as not done, a hold would be placed twice. If the client library sent it again,
+    the second copy would fail by the conflict that the first one caused.
     """
-    # Short only where the time runs out in any case, so that a busy machine changes no verdict.
+    # Short only where the timeout always expires, so that a busy machine changes no result.
     timeout_s = 0.2 if respond is never_answer else 60.0
     table = table_services.get("http")(platform.url, timeout_s, session)
     platform.respond = respond
@@ -221,8 +221,8 @@
     assert (await table.transact([Put("a", b"")])).err().kind is UNAVAILABLE
 
 
-async def test_an_endless_answer_is_cut_off(platform, table, monkeypatch):
-    """A service gone wrong would fill the memory of every process that asks it."""
+async def test_an_answer_above_the_size_limit_is_rejected(platform, table, monkeypatch):
+    """A faulty service could otherwise fill the memory of every process that calls it."""
     monkeypatch.setattr(_platform_http, "MAX_ANSWER_BYTES", 1000)
     platform.respond = answer_with(200, '{"rows": [' + " " * 5000 + "null]}")
     assert (await table.get(["a"])).err().kind is UNAVAILABLE
@@ -242,9 +242,7 @@
 
 
 @pytest.mark.parametrize(("tagged", "lists_sent"), [(False, 5), (True, 3)])
-async def test_an_unchanged_vm_list_is_not_read_anew_and_a_change_is(
-    platform, session, tagged, lists_sent, monkeypatch
-):
+async def test_only_a_changed_vm_list_is_parsed(platform, session, tagged, lists_sent, monkeypatch):
     platform.tags_vm_list = tagged
     vm_list = vm_lists.get("http")(platform.url, 60.0, session)
     parsed = []
@@ -261,8 +259,8 @@
     assert platform.lists_sent == lists_sent
 
 
-async def test_malformed_entries_of_the_vm_list_leave_the_others(platform, session):
-    """One line of the list is broken; without the others no request would find an upstream."""
+async def test_malformed_entries_of_the_vm_list_are_ignored(platform, session):
+    """Some entries are malformed; if that lost the others, no request would find an upstream."""
     good = {**vm_fields("s1"), "rack": "the platform's own field"}
     bad = [{**good, "port": "7000"}, {**good, "state": "gone"}, {**good, "vm": ""}, {}, None, 7]
     platform.vms = [*bad, good]
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_slot_duties.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_slot_background.py
@@ -1,4 +1,4 @@
-"""What a slot does beside requests: orders to its engine, and the expiry of claims."""
+"""Background work of a slot: orders to its engine and the expiry of claims."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
 
 async def test_placement_record_reaches_each_engine_once(deployment):
     """An operator puts a placement record. Each slot of the group reads it, and reads it again with
-    every change of the configuration; an engine that were told twice would load twice.
+    every change of the configuration; an engine that got the order twice would load twice.
     """
     async with deployment(engines=2) as running:
         placements = [
@@ -49,7 +49,7 @@
 
 
 class SlowOrders:
-    """Stands for the runner: an order ends when the test says so."""
+    """Stub of the order runner, whose orders end when the test sets ``may_end``."""
 
     def __init__(self):
         self.turns = self
@@ -65,9 +65,9 @@
         return OrderState.DONE
 
 
-async def test_stop_waits_for_the_order_under_way_and_sends_no_other():
-    """A slot is stopped while its engine loads. Cut off, the order would have no outcome for ever,
-    and a second one begun now would be cut in its turn.
+async def test_stop_waits_for_the_running_order_and_sends_no_other():
+    """A slot is stopped while its engine loads. If the order were cancelled, it would never get an
+    outcome, and a second order begun now would be cancelled too.
     """
     orders = SlowOrders()
     placements = {name: PlacementRecord(name, "g", "load_model", name) for name in ("a", "b")}
@@ -85,7 +85,7 @@
 
 
 class FixedClock(Clock):
-    """Shows one time."""
+    """Clock that always returns the same time."""
 
     def __init__(self, at):
         self.at = at
@@ -98,7 +98,7 @@
 
 
 class FixedVms(VmList):
-    """Lists the given VMs."""
+    """VM list with fixed entries."""
 
     def __init__(self, names):
         self.names = names
@@ -116,7 +116,7 @@
             await claims.complete(claim, StoredAnswer(200, [], b""), now=0.0)
 
 
-async def left_after_sweep(vms, at):
+async def rows_after_sweep(vms, at):
     table = MemoryTable()
     claims = ClaimStore(table, MemoryObjectStore())
     await make_claims(claims)
@@ -127,22 +127,22 @@
     return [name for name in names if (await claims.read("parish", name)).ok() is not None]
 
 
-async def test_claims_expire_only_when_nobody_can_act_on_them():
-    """Rows older than the retention are deleted. A claim without an outcome whose slot may only be
-    paused stays: the slot could wake and send, and the key would run again beside it.
+async def test_claims_expire_only_when_no_slot_can_act_on_them():
+    """Rows older than the retention are deleted. A claim without an outcome is kept while its slot
+    may merely be suspended: the slot could resume and send, although the key had run again.
     """
     late = RETENTION_S + 1.0
-    assert await left_after_sweep(["here"], RETENTION_S) == [
+    assert await rows_after_sweep(["here"], RETENTION_S) == [
         "here-True",
         "here-False",
         "gone-False",
     ]
-    assert await left_after_sweep(["here"], late) == ["here-False"]
-    assert await left_after_sweep(["here", "gone"], late) == ["here-False", "gone-False"]
+    assert await rows_after_sweep(["here"], late) == ["here-False"]
+    assert await rows_after_sweep(["here", "gone"], late) == ["here-False", "gone-False"]
 
 
 async def test_empty_vm_list_expires_nothing():
-    """The platform's list comes back empty by a fault. Every VM would look gone, and claims whose
-    slots are alive would be deleted.
+    """The platform returns an empty list by a fault. All VMs would seem to be removed, and claims
+    whose slots are running would be deleted.
     """
-    assert len(await left_after_sweep([], RETENTION_S + 1.0)) == 3
+    assert len(await rows_after_sweep([], RETENTION_S + 1.0)) == 3
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_targets.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_slot_selection.py
@@ -1,4 +1,4 @@
-"""When an entry chooses its slots anew."""
+"""When an entry repeats the choice of its slots."""
 
 import attrs
 
@@ -7,24 +7,24 @@
 from ._deployment import until
 
 
-async def test_slots_are_chosen_anew_only_when_the_list_or_a_connection_has_changed(deployment):
-    """Every second an entry would look through thousands of slots to choose the same ones.
+async def test_slots_are_chosen_again_only_after_a_change_of_the_list_or_a_connection(deployment):
+    """Otherwise an entry would evaluate thousands of slots every second to choose the same ones.
 
-    If it looked too rarely instead, requests would wait for slots that are gone.
+    If it chose too rarely, requests would wait for slots that are no longer available.
     """
     async with deployment(engines=2) as running:
         (entry,) = running.entries
         entries = list(running.platform.vms.values())
         await until(lambda: all(link.connected for link in entry._links.values()))
-        chosen = []
+        choices = []
         choose = entry._choose_targets
-        entry._choose_targets = lambda: chosen.append(1) or choose()
+        entry._choose_targets = lambda: choices.append(1) or choose()
 
         def count(listed):
-            chosen.clear()
+            choices.clear()
             for _ in range(3):
                 entry._apply_vm_list(list(listed))
-            return len(chosen)
+            return len(choices)
 
         count(entries)
         assert count(entries) == 0
@@ -37,7 +37,8 @@
         await until(lambda: all(link.connected for link in entry._links.values()))
         count(entries)
         assert count(entries) == 0
-        # An aborted slot may still say that it leaves, is then chosen no more, and all is steady.
+        # A closed slot may still report that it drains; it is then not chosen, and the connections
+        # are stable.
         await running.slots[0].close()
         await until(lambda: not all(link.connected for link in entry._links.values()))
         assert count(entries) == 3
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_era.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_era.py
@@ -1,4 +1,4 @@
-"""The HTTP adapter of the table over returns of the table from a copy."""
+"""HTTP adapter of the table when the table is restored from a copy."""
 
 import aiohttp
 import pytest
@@ -26,8 +26,8 @@
     return table_services.get("http")(server.url, 5.0, session)
 
 
-async def test_conditions_of_an_earlier_era_fail_and_the_new_era_is_known(server, table):
-    """A process writes on a version that it read before the table came back from a copy."""
+async def test_conditions_of_an_earlier_era_fail_and_the_new_era_is_received(server, table):
+    """A process writes with a version that it read before the table was restored from a copy."""
     (first,) = (await table.transact([Put("a", b"1")])).ok()
     copy = server.table.copy()
     (lost,) = (await table.transact([Put("a", b"2", first)])).ok()
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize(("named", "known"), [("4", 4), (None, 0), ("x", None), ("-1", None)])
 async def test_era_of_an_answer(session, named, known):
-    """A table names no era, or one that cannot be read; such an answer says nothing."""
+    """An answer without an era has era 0; an answer with an unreadable era is an error."""
 
     async def get(request):
         headers = {} if named is None else {"Table-Era": named}
@@ -62,8 +62,8 @@
         assert answer.ok() == [None] and table.era == known
 
 
-async def test_late_answer_of_an_earlier_era_is_seen_as_such(session):
-    """An answer from before the return arrives behind one from after it."""
+async def test_late_answer_of_an_earlier_era_keeps_its_era(session):
+    """An answer from before the restore arrives after one from after the restore."""
     eras = iter(("3", "2"))
 
     async def get(request):
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_reads.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_reads.py
@@ -1,4 +1,4 @@
-"""Reads of the head revision by all processes together."""
+"""Rate of reads of the head revision by all processes together."""
 
 import random
 
@@ -23,10 +23,10 @@
 
 
 @pytest.mark.parametrize(("entries", "subset"), [(3, 9), (1900, 144)])
-def test_all_processes_together_keep_to_the_budget_of_reads(entries, subset):
-    """Each slot reads on its own, and with thousands of them the table has no reads left.
+def test_all_processes_together_keep_to_the_read_budget(entries, subset):
+    """If each slot read independently, thousands of slots would use up the reads of the table.
 
-    Requests that run at most once are then refused, although the table works.
+    Requests that run at most once would be refused, although the table works.
     """
     slots = 3 * entries
     platform = PlatformSettings(URL, URL, URL)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_return.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_restore.py
@@ -1,4 +1,4 @@
-"""Entries and slots over a return of the table from a copy."""
+"""Entries and slots when the table is restored from a copy."""
 
 import asyncio
 import io
@@ -28,7 +28,7 @@
 
 
 class ManualClock(Clock):
-    """Shows the time that the test sets."""
+    """Clock whose time is set by the test."""
 
     time = 0.0
 
@@ -40,7 +40,7 @@
 
 
 def open_era(platform):
-    """Let slots make claims, as if the era had begun long ago."""
+    """Allow slots to make claims, as if the era had begun long ago."""
     return platform.table.transact([Put(OPEN_ERA_KEY, cbor2.dumps(platform.table.era))])
 
 
@@ -57,7 +57,7 @@
             await asyncio.sleep(0.1)
 
 
-async def test_repeat_after_a_return_gets_the_first_answer(deployment):
+async def test_repeat_after_a_restore_gets_the_first_answer(deployment):
     """The table loses the claim and the outcome of a request, and its caller repeats it."""
     async with deployment(engines=0, services=2, era=1) as running:
         await open_era(running.platform)
@@ -71,8 +71,8 @@
 
 
 @pytest.mark.parametrize(("era", "reads"), [(0, 0), (1, 3)])
-async def test_era_is_asked_for_only_while_claims_could_be_lost(era, reads):
-    """Each slot reads a row twice a second for ever, although it holds nothing that could go."""
+async def test_era_is_polled_only_while_claims_could_be_lost(era, reads):
+    """Otherwise each slot would read a row twice a second without having claims to protect."""
     table = MemoryTable(era)
     claims = ClaimStore(table, MemoryObjectStore())
     follower = EraFollower(ClaimEra(claims, lambda: 0.0, hold_s=0.0), ManualClock())
@@ -95,8 +95,8 @@
     handler.pop_application()
 
 
-async def test_log_tells_of_a_return_and_of_restored_claims(log):
-    """An operator looks for what became of the claims that the table had lost."""
+async def test_restore_of_the_table_and_restored_claims_are_logged(log):
+    """An operator needs to find out what happened to the claims that the table had lost."""
     table = MemoryTable(era=1)
     claims = ClaimStore(table, MemoryObjectStore())
     clock = ManualClock()
@@ -123,8 +123,8 @@
     assert text.index("E1725 claims_held era=2") < text.index("E1726 claims_open era=2")
 
 
-async def test_log_tells_once_that_configuration_was_lost(log):
-    """An operator has to learn that a change which is in force is no longer in the log."""
+async def test_lost_configuration_is_logged_once(log):
+    """An operator must be informed that a change in force is no longer in the record log."""
     table = MemoryTable(era=1)
     records = RecordLog(table)
     holder = ConfigurationHolder()
