--- a/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
@@ -53,10 +53,10 @@
     timers,
 )
 
-SETTLE_TRIES = 4
-"""How often the claim row of an attempt is read while the attempt may still be running."""
+MAX_SETTLE_READS = 4
+"""Limit on the reads of an attempt's claim row while the attempt may still be running."""
 
-SETTLE_PAUSE_S = 0.25
+SETTLE_READ_INTERVAL_S = 0.25
 """Time between two of these reads, seconds."""
 
 
@@ -302,11 +302,11 @@
         claim_lost: bool = False,
     ) -> list[AnswerItem]:
         """Read the outcome of an attempt from its claim row, and continue accordingly."""
-        for remaining in reversed(range(SETTLE_TRIES)):
+        for remaining in reversed(range(MAX_SETTLE_READS)):
             settled = await self.resolver.settle(call.ticket, self.clock.wall, claim_lost)
             if settled.state is not SettledState.IN_PROGRESS or not remaining:
                 break
-            await asyncio.sleep(SETTLE_PAUSE_S)
+            await asyncio.sleep(SETTLE_READ_INTERVAL_S)
         return self._apply_settled(call, dispatcher, settled, error)
 
     def _apply_settled(
--- a/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
@@ -327,7 +327,7 @@
             return None
         spec = call.spec
         candidates: list[Candidate] = [
-            link.describe_candidate(
+            link.make_candidate(
                 self.health.weight(link.vm, now),
                 self.prefixes.overlap(link.vm, spec.prefix),
                 now,
--- a/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
@@ -423,7 +423,7 @@
     return Ok(PeerConnection(websocket, peer, answer.version, 0.0, traffic))
 
 
-async def accept_peer(
+async def accept_handshake(
     websocket: Any,
     identity: Identity,
     key: bytes,
--- a/packages/burdockquay-transport/src/burdockquay_transport/_peer_server.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_peer_server.py
@@ -19,7 +19,7 @@
     Identity,
     PeerConnection,
     TrafficCounts,
-    accept_peer,
+    accept_handshake,
 )
 
 Handler = Callable[[PeerConnection, Any], None]
@@ -104,7 +104,7 @@
 
     async def _serve(self, websocket: Any) -> None:
         """Handle one connection: the handshake, then its messages until it closes."""
-        handshake = await accept_peer(
+        handshake = await accept_handshake(
             websocket, self.identity, self.key, self.flush_interval_s, self.traffic
         )
         if isinstance(handshake, Err):
--- a/packages/burdockquay-transport/src/burdockquay_transport/_platform_http.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_platform_http.py
@@ -424,8 +424,8 @@
 def _read_entry(item: Any) -> Result[VmEntry, str]:
     try:
         # Unknown fields are ignored; they are for the platform's own use.
-        known = {name: _intern(item[name]) for name in _VM_CONSTRAINTS if name in item}
-        entry = VmEntry(**{**known, "state": VmState(known.get("state", VmState.LIVE.value))})
+        fields = {name: _intern(item[name]) for name in _VM_CONSTRAINTS if name in item}
+        entry = VmEntry(**{**fields, "state": VmState(fields.get("state", VmState.LIVE.value))})
     except (TypeError, ValueError) as error:
         return Err(f"expected an entry of the VM list, got {str(item)[:100]}: {error}")
     faults = find_faults(_VM_CONSTRAINTS, entry)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_process.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_process.py
@@ -81,7 +81,7 @@
             If an address is in use.
         """
         self._open_common()
-        self._open_parts()
+        self._open_components()
         await self._listen()
         common = (
             self._sync.run(),
@@ -135,7 +135,7 @@
 
     async def close(self) -> None:
         """Close all resources without draining."""
-        await self._close_parts()
+        await self._close_components()
         await self._tasks.close()
         await self._platform.close()
         self.metrics.close()
@@ -184,13 +184,13 @@
             "incarnation": self.identity.incarnation,
             "revision": self._holder.revision,
             "leaving": self._leaving,
-            "quarantine": [attrs.asdict(item) for item in self.suspicions.known()],
+            "quarantine": [attrs.asdict(item) for item in self.suspicions.active()],
             "table": {"healthy": self._sync.table_healthy},
             "traffic": attrs.asdict(self.traffic),
         }
 
     @abstractmethod
-    def _open_parts(self) -> None:
+    def _open_components(self) -> None:
         """Create the components of this role."""
 
     @abstractmethod
@@ -230,5 +230,5 @@
         """Abort what still runs, and report whether it may have run."""
 
     @abstractmethod
-    async def _close_parts(self) -> None:
+    async def _close_components(self) -> None:
         """Close the components of this role."""
--- a/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
@@ -134,7 +134,7 @@
         """Number of attempts of this entry at the slot."""
         return len(self._attempts)
 
-    def describe_candidate(self, weight: float, prefix_overlap: int, now: float) -> Candidate:
+    def make_candidate(self, weight: float, prefix_overlap: int, now: float) -> Candidate:
         """Return the slot as a candidate for the placement policies."""
         status = self.status
         return Candidate(
--- a/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
@@ -46,7 +46,7 @@
         self.book = QuarantineBook(RETENTION_S)
         self.store = SuspicionStore(table)
 
-    def known(self) -> list[Suspicion]:
+    def active(self) -> list[Suspicion]:
         """Return the suspicions in force."""
         return self.book.suspicions(self.clock.wall())
 
@@ -57,7 +57,7 @@
 
     def send_all(self, peer: PeerConnection) -> None:
         """Send all suspicions in force to a newly connected peer."""
-        peer.post(Suspicions(self.known()))
+        peer.post(Suspicions(self.active()))
 
     def receive(self, peer: PeerConnection, message: Suspicions) -> None:
         """Merge the suspicions from a peer, and forward the new ones."""
--- a/packages/burdockquay-transport/src/burdockquay_transport/entry.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/entry.py
@@ -69,7 +69,7 @@
         """Return the dispatcher of an upstream group, None if there is no record of the group."""
         return self._dispatchers.get(group)
 
-    def _open_parts(self) -> None:
+    def _open_components(self) -> None:
         settings = self.settings
         self.ledger = UsageLedger()
         self._links: dict[str, SlotLink] = {}
@@ -123,7 +123,7 @@
     async def _abort_all(self, reason: str) -> None:
         await self._server.abort_all()
 
-    async def _close_parts(self) -> None:
+    async def _close_components(self) -> None:
         await self._server.close()
         for peer in self._connected_peers():
             peer.post(Goodbye("shutdown"))
--- a/packages/burdockquay-transport/src/burdockquay_transport/slot.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/slot.py
@@ -72,7 +72,7 @@
         """Whether the slot has a configuration that contains its group."""
         return self._holder.ready and self._group is not None
 
-    def _open_parts(self) -> None:
+    def _open_components(self) -> None:
         settings = self.settings
         self._peers = PeerServer(
             self.identity,
@@ -123,7 +123,7 @@
     async def _abort_all(self, reason: str) -> None:
         self._runner.abort_all(reason, self._clock.now())
 
-    async def _close_parts(self) -> None:
+    async def _close_components(self) -> None:
         await self._peers.close()
         await self._health.close()
         await self._status_server.close()
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
@@ -22,7 +22,7 @@
 from burdockquay_standins import expected_answer
 from burdockquay_transport import _peer, _peer_server
 from burdockquay_transport._addresses import bind_socket
-from burdockquay_transport._peer import Identity, TrafficCounts, accept_peer, greet_peer
+from burdockquay_transport._peer import Identity, TrafficCounts, accept_handshake, greet_peer
 from burdockquay_transport._peer_server import PeerServer
 
 from ._deployment import PEER_KEY, chat_body, is_answering, until
@@ -197,7 +197,7 @@
 
 async def test_peer_that_disconnects_during_the_handshake_is_refused():
     """Guards against a traceback in the log for every process that stops while it connects."""
-    accepted = await accept_peer(DisconnectingWebsocket(), ROGUE, b"key", 0.0, TrafficCounts())
+    accepted = await accept_handshake(DisconnectingWebsocket(), ROGUE, b"key", 0.0, TrafficCounts())
     assert "closed the connection" in accepted.err()
 
 
