--- a/packages/burdockquay-transport/src/burdockquay_transport/_claim_expiry.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_claim_expiry.py
@@ -73,10 +73,10 @@
         )
         if acquired.is_err():
             return 0
-        may_act = await self._find_live_vms()
+        may_act = await self._find_listed_vms()
         return 0 if may_act.is_err() else await self._sweep_all(acquired.ok(), may_act.ok())
 
-    async def _find_live_vms(self) -> Result[Callable[[str], bool], TableError]:
+    async def _find_listed_vms(self) -> Result[Callable[[str], bool], TableError]:
         """Return a predicate: whether the process of an incarnation may still act on a claim.
 
         Notes
--- a/packages/burdockquay-transport/src/burdockquay_transport/_events.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_events.py
@@ -49,11 +49,11 @@
         "token",
     }
 )
-"""Field names that suggest a secret or the content of a request."""
+"""Names of fields that would hold a secret or the content of a request."""
 
 LINE_FIELDS = frozenset({"time", "level", "event", "name"})
-"""Fields that every line has. An event field of the same name would replace them: lines about sends
-once had the urgency of a request as their level, and no filter by level found them."""
+"""Fields that every line has. An event field of the same name would replace them: with the urgency
+of a request as their level, lines about sends were not found by any filter by level."""
 
 _REFUSED_FIELDS = FORBIDDEN_FIELDS | LINE_FIELDS
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/_metrics.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_metrics.py
@@ -76,17 +76,17 @@
 
     @staticmethod
     def first_token(class_name: str) -> str:
-        """Time from the arrival at the entry to the first byte of the answer's body."""
+        """Return the timer from the arrival at the entry to the first byte of the answer's body."""
         return f"classes.{_sanitize(class_name)}.first_token"
 
     @staticmethod
     def between_tokens(class_name: str) -> str:
-        """Mean time between two tokens of one answer."""
+        """Return the timer of the mean time between two tokens of one answer."""
         return f"classes.{_sanitize(class_name)}.between_tokens"
 
     @staticmethod
     def whole(class_name: str) -> str:
-        """Time from the arrival at the entry to the end of the answer."""
+        """Return the timer from the arrival at the entry to the end of the answer."""
         return f"classes.{_sanitize(class_name)}.whole"
 
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/_upstream_health.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_upstream_health.py
@@ -82,7 +82,7 @@
     Notes
     -----
     Callers' requests are never used to test whether an upstream has recovered: a request that is
-    sent to a crashed engine has waited in vain. See docs/design/health.md.
+    sent to a crashed engine has waited in the queue without result. See docs/design/health.md.
     """
 
     def __init__(
--- a/packages/burdockquay-transport/src/burdockquay_transport/entry.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/entry.py
@@ -195,7 +195,7 @@
         )
 
     def _connect_seeds(self) -> None:
-        """Connect to the seed slots of the settings if there is no other slot to connect to."""
+        """Connect to the seed slots of the settings while no slot is known."""
         if self._links:
             return
         for address in self.settings.seed_slots:
