--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/__init__.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/__init__.py
@@ -1,7 +1,7 @@
 """Decisions of the forwarder: routes, keys, freshness, choice of an upstream, retries.
 
-A forwarder passes HTTP requests to upstreams as they are. It learns routes, organisations and
-upstreams from the platform and keeps nothing. All times are seconds on one clock of the process;
+A forwarder passes HTTP requests to upstreams unchanged. It receives routes, organisations and
+upstreams from the platform and persists nothing. All times are seconds on one clock of the process;
 ``now`` is an argument of each decision.
 """
 
@@ -26,13 +26,13 @@
 from ._losses import LossRate
 from ._mechanisms import Mechanism, Switches
 from ._outcome_ledger import OutcomeLedger, Outcomes, OutcomesByUpstream, add_outcomes
-from ._pace import PaceGuard
+from ._pace import SteadyReservation
 from ._pending import NO_LOAD, LoadShare, PendingPrompts
 from ._placing import Demand, Placement, place_prompt
 from ._polling import Fit, PollTurn, is_poller
 from ._prompts import Prompt, PromptMemory
 from ._ranking import rank_processes
-from ._reading import ReadingLine
+from ._reading import FirstTokenModel
 from ._return import OtherProcesses, return_after_s
 from ._store_era import StoreEra
 from ._suspects import CrashSuspects
@@ -63,7 +63,7 @@
     "FreshnessLease",
     "ListedUpstream",
     "LoadShare",
-    "PaceGuard",
+    "SteadyReservation",
     "OutcomeLedger",
     "Outcomes",
     "OutcomesByUpstream",
@@ -78,7 +78,7 @@
     "Prompt",
     "PromptMemory",
     "PromptQueue",
-    "ReadingLine",
+    "FirstTokenModel",
     "RetryWindow",
     "SHORT_SHARE",
     "RouteKind",
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_choice.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_choice.py
@@ -1,4 +1,4 @@
-"""Which upstream gets a request."""
+"""Choice of the upstream for a request."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 from ._mechanisms import ALL_ON, Mechanism, Switches
 from ._upstreams import Upstream
 
-DOMAIN_COST = 0.3
-"""Requests that an upstream in another failure domain must have less to be preferred."""
+REMOTE_DOMAIN_COST = 0.3
+"""Number of outstanding requests that an upstream in another failure domain must have less to be
+preferred."""
 
 
 def choose_upstream(
@@ -28,11 +29,11 @@
     Parameters
     ----------
     upstreams : sequence of Upstream
-        Of the wanted service.
+        Upstreams of the requested service.
     failure_domain : str
-        Of this process.
+        Failure domain of this process.
     tried : collection of str
-        Ids of the upstreams that the request was sent to already.
+        Ids of the upstreams that the request has been sent to already.
     now : float
     rng : random.Random
     switches : Switches
@@ -46,16 +47,16 @@
 def choose_backup(
     upstreams: Sequence[Upstream], serving: Upstream, now: float, rng: random.Random
 ) -> Upstream | None:
-    """Return the upstream that keeps a copy of what another one generates, None if there is none.
+    """Return the upstream that keeps a copy of another one's stream, None if there is none.
 
-    It is in another failure domain if possible, since a whole domain can go down at once, and has
-    the fewest running requests, beside which the copy takes memory.
+    It is in another failure domain if possible, since a whole domain can fail at once. Among those,
+    it has the fewest running requests, which share its memory with the copy.
     """
     others = usable_upstreams(upstreams, (serving.id,), now)
 
     def cost(item: Upstream) -> tuple[bool, int, float]:
-        together = item.entry.failure_domain == serving.entry.failure_domain
-        return (together, item.running(now), rng.random())
+        same_domain = item.entry.failure_domain == serving.entry.failure_domain
+        return (same_domain, item.running(now), rng.random())
 
     return min(others, key=cost, default=None)
 
@@ -66,12 +67,13 @@
     now: float,
     switches: Switches = ALL_ON,
 ) -> Sequence[Upstream]:
-    """Return the upstreams that a request may be sent to, the sound ones if there are any.
+    """Return the upstreams that a request may be sent to, only the healthy ones if there are any.
 
     Notes
     -----
     Upstreams that fail many requests or could not be reached are used only if no other is left:
-    refusing all work because every upstream looks bad would turn a small fault into an outage.
+    rejecting all work because every upstream looks unhealthy would turn a small fault into an
+    outage.
     """
     usable = [item for item in upstreams if item.takes_work() and item.id not in tried]
     reached = usable
@@ -84,31 +86,31 @@
 
 
 def rank_homes(candidates: Sequence[Upstream], part: str, count: int) -> list[Upstream]:
-    """Return the first upstreams in an order that depends on a prompt part alone.
+    """Return the first upstreams in rendezvous-hash order of a prompt part.
 
-    Every process finds the same order without a message, and the loss of one upstream moves only
-    the parts that were first there.
+    The order depends on the part and the upstream ids alone. All processes compute the same order
+    without messages, and the removal of one upstream moves only the parts that it was first for.
 
     Parameters
     ----------
     candidates : sequence of Upstream
     part : str
     count : int
-        How many are wanted at most.
+        Maximum number of upstreams to return.
     """
-    return heapq.nlargest(count, candidates, key=lambda item: _weight(item.id, part))
+    return heapq.nlargest(count, candidates, key=lambda item: _rendezvous_weight(item.id, part))
 
 
 def _least_outstanding(
     candidates: Sequence[Upstream], failure_domain: str, rng: random.Random
 ) -> Upstream:
     def cost(item: Upstream) -> tuple[float, float]:
-        away = DOMAIN_COST if item.entry.failure_domain != failure_domain else 0.0
-        return (item.outstanding + away, rng.random())
+        domain_cost = REMOTE_DOMAIN_COST if item.entry.failure_domain != failure_domain else 0.0
+        return (item.outstanding + domain_cost, rng.random())
 
     return min(candidates, key=cost)
 
 
 @functools.lru_cache(maxsize=16384)
-def _weight(id_: str, prompt_part: str) -> bytes:
+def _rendezvous_weight(id_: str, prompt_part: str) -> bytes:
     return blake2b(prompt_part.encode(), key=id_.encode()[:64], digest_size=8).digest()
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_config.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a forwarder, as one immutable value per version."""
+"""Configuration of a forwarder, as one immutable value per version."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Whether requests of a route may be repeated."""
 
     IDEMPOTENT = "idempotent"
     """A request may run more than once."""
     ONCE = "once"
     """A request runs at most once."""
     STREAM = "stream"
-    """The answer is a series of events; runs at most once unless the route can resume."""
+    """The answer is a stream of events; runs at most once unless the route can resume."""
 
 
 @attrs.frozen
 class ServiceShare:
-    """Part of a route's requests that goes to one service.
+    """Share of a route's requests that goes to one service.
 
     Parameters
     ----------
     service : str
     weight : float
-        Relative to the other shares of the route.
+        Weight relative to the other shares of the route.
     """
 
     service: str
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class ForwardRoute:
-    """Where the requests under one path prefix go, and what may be done with them.
+    """Destination and rules of the requests under one path prefix.
 
     Parameters
     ----------
@@ -43,13 +43,13 @@
     host : str
         Value of the ``Host`` header without its port, in lower case.
     prefix : str
-        Begins and ends with a slash.
+        Path prefix that begins and ends with a slash.
     kind : RouteKind
     shares : tuple of ServiceShare
     timeout_s : float
-        Longest time a caller is kept waiting, seconds.
+        Longest time that a caller waits, seconds.
     target_s : float
-        Time within which an answer, or the first event of a stream, is in time, seconds.
+        Target for the time to the answer, or to the first event of a stream, seconds.
     priority : int
         0 is the most urgent.
     max_attempts : int
@@ -59,11 +59,11 @@
     by_prompt : bool
         Whether the requests carry prompts whose parts upstreams keep in memory.
     can_resume : bool
-        Whether another upstream may go on with a stream that broke off.
+        Whether another upstream may continue a stream that broke off.
     silence_s : float or None
-        Silence after which callers abandon a stream, seconds.
+        Time without an event after which callers abandon a stream, seconds.
     pause_target_s : float or None
-        Longest pause between two events with which a stream is in time, seconds.
+        Target for the longest pause between two events of a stream, seconds.
     """
 
     name: str
@@ -91,18 +91,17 @@
 
 @attrs.frozen
 class ServiceTargets:
-    """What all routes to one service demand together.
+    """Combined targets of all routes to one service.
 
     Parameters
     ----------
     tightest_s : float
-        Tightest target, seconds. A second where no route leads to the service any more: its last
-        requests still run.
+        Tightest target, seconds; one second if no route leads to the service any more while its
+        last requests still run.
     most_urgent : int
         Priority of the most urgent route.
     shortest_pause_s, longest_pause_s : float or None
-        Shortest and longest of the pauses that the routes allow between two events, seconds; None
-        where no route names one.
+        Shortest and longest pause target of the routes, seconds; None if no route has one.
     """
 
     tightest_s: float = 1.0
@@ -111,7 +110,7 @@
     longest_pause_s: float | None = None
 
     def with_route(self, route: ForwardRoute) -> ServiceTargets:
-        """Return the targets with those of one more route."""
+        """Return the targets combined with those of one more route."""
         pauses = (self.shortest_pause_s, self.longest_pause_s, route.pause_target_s)
         known = [pause for pause in pauses if pause is not None]
         return ServiceTargets(
@@ -122,7 +121,7 @@
         )
 
     def is_steady(self, route: ForwardRoute) -> bool:
-        """Return whether the streams of a route must be written more steadily than others."""
+        """Return whether the streams of a route must be more steady than those of other routes."""
         pause_s = route.pause_target_s
         if pause_s is None or self.longest_pause_s is None:
             return False
@@ -138,7 +137,7 @@
     name : str
     api_keys : frozenset of str
     priority : int or None
-        Goes before the priority of a route where it is set.
+        Overrides the priority of a route if set.
     """
 
     name: str
@@ -148,7 +147,7 @@
 
 @attrs.frozen
 class CallerLimits:
-    """What callers may send.
+    """Limits of callers' requests.
 
     Parameters
     ----------
@@ -160,13 +159,13 @@
 
 @attrs.frozen
 class ServiceMemory:
-    """How much the upstreams of a service keep in memory.
+    """Memory capacity of the upstreams of a service.
 
     Parameters
     ----------
     service : str
     tokens : int
-        For running requests and prompt parts together.
+        Capacity for running requests and prompt parts together.
     """
 
     service: str
@@ -175,18 +174,18 @@
 
 @attrs.frozen
 class ForwardConfig:
-    """One version of the whole configuration.
+    """One version of the complete configuration.
 
     Parameters
     ----------
     version : int
-        Grows with every change.
+        Increases with every change.
     routes : tuple of ForwardRoute
     organisations : tuple of CallerOrganisation or None
-        None where requests need no key at all.
+        None if no request needs a key.
     limits : CallerLimits
     memories : tuple of ServiceMemory
-        Of the services whose upstreams keep prompt parts.
+        Capacities of the services whose upstreams keep prompt parts.
     """
 
     version: int
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_config_standing.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_config_standing.py
@@ -2,26 +2,26 @@
 
 from __future__ import annotations
 
-CATCH_UP_S = 1.0
-"""Time that a process has to read a configuration that is in force at another one, seconds, before
-it honours no keys: on a calm day the news comes within some hundredths."""
+READ_NEWER_WAIT_S = 1.0
+"""Time that a process has to read a configuration that is in force at another process, before it
+honours no keys, seconds. Without failures, updates arrive within some hundredths of a second."""
 
-PROOF_WAIT_S = 2.0
-"""Time for which a process that starts honours no keys unless another one vouches for its
-configuration, seconds: the operator writes a lost configuration again within that."""
+VERIFICATION_WAIT_S = 2.0
+"""Time for which a process that starts honours no keys unless another process confirms its
+configuration, seconds: within it, the operator writes a lost configuration again."""
 
 
-START_S = 3.0
-"""Time after its first configuration in which a process gets no such time, seconds: the others may
-have known for long that what it has just read is old."""
+STARTUP_PERIOD_S = 3.0
+"""Time after the first configuration of a process in which ``READ_NEWER_WAIT_S`` is not granted,
+seconds: the configuration that it has just read may have been outdated at the others for long."""
 
 
 class ConfigStanding:
-    """Compares what the platform shows with what is in force at this process and at others.
+    """Compares the version that the platform shows with those in force at all processes.
 
-    A store that comes back from a copy may show an older configuration until the operator has
-    written the newer one again. A key that the newer one withdraws stands in the older one. A
-    process that took the older one for a confirmation would go on to honour it.
+    A store that was restored from a copy may show an older configuration until the operator has
+    written the newer one again. A key that the newer one withdraws is still in the older one. A
+    process that took the older one for a confirmation would continue to honour the key.
 
     Examples
     --------
@@ -38,7 +38,7 @@
     >>> standing.is_outdated(9.5), standing.is_outdated(10.0)
     (False, True)
 
-    A process that has just started, before and after another one vouches for what it holds:
+    A process that has just started, before and after a peer confirms its version:
 
     >>> standing = ConfigStanding()
     >>> standing.note_held(7, now=1.0)
@@ -51,89 +51,89 @@
     """
 
     def __init__(self):
-        self._shown = 0
-        self._newest = 0
-        self._held = 0
+        self._shown_version = 0
+        self._newest_version = 0
+        self._held_version = 0
         self._first_held_at: float | None = None
         self._outdated_since: float | None = None
         self._behind_since: float | None = None
-        self._unproven_until = float("-inf")
-        self._is_vouched_for = False
+        self._unverified_until = float("-inf")
+        self._is_verified = False
 
     @property
     def shown(self) -> int:
         """Version that the platform showed last."""
-        return self._shown
+        return self._shown_version
 
     @property
     def newest(self) -> int:
         """Highest version known to be in force at any process."""
-        return self._newest
+        return self._newest_version
 
     @property
     def is_behind(self) -> bool:
         """Whether the platform shows an older configuration than the newest one."""
-        return self._shown < self._newest
+        return self._shown_version < self._newest_version
 
     def behind_s(self, now: float) -> float:
-        """Return for how long the newest configuration has waited to be shown again, seconds."""
+        """Return for how long the platform has not shown the newest configuration, seconds."""
         return 0.0 if self._behind_since is None else now - self._behind_since
 
     def is_outdated(self, now: float) -> bool:
         """Return whether this process acts on an older configuration than it should by now.
 
         A process that starts while the store shows an older configuration has no newer one to keep.
-        It learns from the others that there is one, and must not wait until its lease runs out.
+        Other processes inform it that there is one, and it must not wait until its lease expires.
         """
         if self._outdated_since is None:
             return False
-        has_started = self._outdated_since - self._first_held_at >= START_S
-        return now - self._outdated_since >= (CATCH_UP_S if has_started else 0.0)
+        has_started = self._outdated_since - self._first_held_at >= STARTUP_PERIOD_S
+        return now - self._outdated_since >= (READ_NEWER_WAIT_S if has_started else 0.0)
 
     def is_unproven(self, now: float) -> bool:
-        """Return whether the configuration may be an older one that nobody here knows better.
+        """Return whether the configuration may be an older one without this process knowing.
 
-        A process that starts just after the store came back from a copy may read a configuration
-        of before a key was withdrawn, and has neither a newer one nor peers yet.
+        A process that starts just after the store was restored from a copy may read a configuration
+        from before a key was withdrawn, and has neither a newer one nor peers yet.
         """
-        if self._is_vouched_for and self._held >= self._newest:
+        if self._is_verified and self._held_version >= self._newest_version:
             return False
-        return now < self._unproven_until
+        return now < self._unverified_until
 
     def note_unproven(self, now: float) -> None:
-        """Note that the first configuration was read from a store that came back from a copy."""
-        self._unproven_until = now + PROOF_WAIT_S
+        """Record that the first configuration was read from a store restored from a copy."""
+        self._unverified_until = now + VERIFICATION_WAIT_S
 
     def note_vouched(self, version: int, now: float) -> None:
-        """Note the newest version that another process, which can tell, knows to be in force."""
-        self._is_vouched_for = True
+        """Record the newest version in force according to a peer that has verified it."""
+        self._is_verified = True
         self.note_in_force(version, now)
 
     def note_held(self, version: int, now: float) -> None:
-        """Note the version that is in force at this process."""
-        self._held = version
+        """Record the version that is in force at this process."""
+        self._held_version = version
         if self._first_held_at is None:
             self._first_held_at = now
         self.note_in_force(version, now)
 
     def note_shown(self, version: int, now: float) -> None:
-        """Note the version that the platform shows."""
-        self._shown = version
+        """Record the version that the platform shows."""
+        self._shown_version = version
         self._compare(now)
 
     def note_in_force(self, version: int, now: float) -> None:
-        """Note a version that is in force at this process or another one."""
-        self._newest = max(self._newest, version)
+        """Record a version that is in force at this process or another one."""
+        self._newest_version = max(self._newest_version, version)
         self._compare(now)
 
     def _compare(self, now: float) -> None:
         self._behind_since = _since(self.is_behind, self._behind_since, now)
-        is_older = 0 < self._held < self._newest
+        is_older = 0 < self._held_version < self._newest_version
         self._outdated_since = _since(is_older, self._outdated_since, now)
 
 
 def _since(holds: bool, since: float | None, now: float) -> float | None:
-    """Return since when something holds, None if it does not."""
+    """Return the time since which a condition holds, None if it does not hold."""
     if not holds:
         return None
     return now if since is None else since
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_directory.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_directory.py
@@ -25,7 +25,7 @@
             for share in route.shares:
                 known = self._targets.get(share.service, ServiceTargets())
                 self._targets[share.service] = known.with_route(route)
-        self._highest = _highest_organisation_priority(config)
+        self._max_organisation_priority = _highest_organisation_priority(config)
         self.urgency = UrgencyScale(self._possible_ranks())
         self._organisations = {
             api_key: organisation
@@ -72,7 +72,9 @@
         priority = request_priority(route, organisation)
         if not route.by_prompt:
             return priority
-        return route.priority * (self._highest + 1) + min(priority, self._highest)
+        return route.priority * (self._max_organisation_priority + 1) + min(
+            priority, self._max_organisation_priority
+        )
 
     def _possible_ranks(self) -> list[int]:
         organisations = (None, *(self.config.organisations or ()))
@@ -114,8 +116,8 @@
     if len(route.shares) == 1:
         return route.shares[0].service
     bounds = list(itertools.accumulate(share.weight for share in route.shares))
-    drawn = rng.random() * bounds[-1]
+    sampled = rng.random() * bounds[-1]
     for share, bound in zip(route.shares, bounds, strict=True):
-        if drawn < bound:
+        if sampled < bound:
             return share.service
     return route.shares[-1].service
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
@@ -1,66 +1,66 @@
-"""How long the engines of one service take, learned from what callers see."""
+"""Times that the engines of one service take, estimated from the observed answers."""
 
 from __future__ import annotations
 
 from ._linear import LinearModel
 from ._mechanisms import ALL_ON, Mechanism, Switches
-from ._pace import PaceGuard
-from ._reading import ReadingLine
+from ._pace import SteadyReservation
+from ._reading import FirstTokenModel
 from ._upstreams import Upstream
 
 FIRST_S = 0.03
 TOKEN_S = 1 / 50_000
 USUAL_TOKENS = 5000
-"""First guesses for the first token: seconds for an empty prompt, seconds for each token that is
+"""Initial values for the first token: seconds for an empty prompt, seconds for each token that is
 read, and a usual number of tokens. They are of the order of present accelerators; wrong ones are
-forgotten after some thirty requests."""
+outweighed after some thirty requests."""
 
 USUAL_SHORT_TOKENS = 500
-"""The same for prompts that overtake others."""
+"""Usual number of tokens of prompts that overtake others."""
 
 FETCH_S = 0.005
 FETCH_TOKEN_S = 1 / 1_000_000
-"""First guesses for the fetching of tokens from another engine: seconds for any fetch, seconds for
-each token. They are low, so that fetches are tried; where fetching does not pay, or engines do not
-know of it, some thirty requests show that."""
+"""Initial values for fetching tokens from another engine: seconds for any fetch, seconds for each
+token. They are low, so that fetches are tried; where fetching is slower than reading, or engines do
+not support it, some thirty requests show that."""
 
 EVENT_S = 0.03
 EVENT_PER_RUNNING_S = 0.001
 USUAL_RUNNING = 20
-"""First guesses for the time between two events of an answer: seconds where nothing else runs,
-seconds for each running request, and a usual number of them."""
+"""Initial values for the time between two events of an answer: seconds for an idle engine, seconds
+for each running request, and a usual number of running requests."""
 
 TOKENS_PER_EVENT = 4.0
-"""First guess of the tokens of an answer that one event stands for."""
+"""Initial value of the number of answer tokens in one event."""
 
 RATIO_WEIGHT = 0.05
-"""Weight of the newest whole answer in that figure."""
+"""Weight of the newest complete answer in the tokens per event."""
 
 
 class EngineModel:
-    """Predicts first tokens and whole answers of the engines of one service.
+    """Predicts first tokens and complete answers of the engines of one service.
 
     The time to the first token grows with the prompt tokens that are read before it, the time
-    between two events with the requests that run. Both are lines common to all engines; a factor
-    for each engine tells how far it is off them. Short prompts, which overtake the others, have a
-    line of their own.
+    between two events with the number of running requests. Both are linear models common to all
+    engines; a speed factor for each engine describes its deviation. Short prompts, which overtake
+    the others, have a model of their own.
 
     Parameters
     ----------
     switches : Switches
-        Mechanisms that decide by this model.
+        Switches of the mechanisms that use this model.
 
     Attributes
     ----------
     processes : int
-        How many processes decide by such a model, each by itself.
+        Number of processes that place prompts, each with a model of its own.
     """
 
     def __init__(self, switches: Switches = ALL_ON):
         self.switches = switches
         self.processes = 1
-        self.pace = PaceGuard()
-        self.first_token = ReadingLine(FIRST_S, TOKEN_S)
+        self.pace = SteadyReservation()
+        self.first_token = FirstTokenModel(FIRST_S, TOKEN_S)
         self.short_first_token = LinearModel(FIRST_S, TOKEN_S, USUAL_SHORT_TOKENS)
         self.fetch = LinearModel(FETCH_S, FETCH_TOKEN_S, USUAL_TOKENS)
         self.event = LinearModel(EVENT_S, EVENT_PER_RUNNING_S, USUAL_RUNNING)
@@ -75,12 +75,14 @@
         ----------
         upstream : Upstream
         tokens : float
-            Prompt tokens that are read before it: those of others ahead and the request's own.
+            Prompt tokens that are read before it: those of requests ahead and the request's own.
         now : float
         is_short : bool
-            Whether it overtakes long prompts; ``tokens`` are then its own alone.
+            Whether the request overtakes long prompts; ``tokens`` are then its own alone.
         """
-        return self._line(is_short).predict(tokens) * self._reading_factor(upstream, now)
+        return self._first_token_model(is_short).predict(tokens) * self._reading_factor(
+            upstream, now
+        )
 
     def reading_s(self, upstream: Upstream, tokens: float, now: float) -> float:
         """Return how long an engine takes to read tokens, seconds."""
@@ -106,20 +108,20 @@
         fetched: int = 0,
         is_short: bool = False,
     ) -> None:
-        """Take in how long a first token took.
+        """Update the models with the time that a first token took.
 
         Parameters
         ----------
         upstream : Upstream
         ahead : float
-            Prompt tokens of others that were to be read before it.
+            Prompt tokens of other requests that were to be read before it.
         own : float
-            Prompt tokens of its own that were.
+            Prompt tokens of its own that were to be read.
         seconds : float
         now : float
         fetched : int
-            Prompt tokens that were fetched; what is over the time of the reading is then the time
-            of the fetch.
+            Prompt tokens that were fetched; the time beyond the predicted reading is then taken as
+            the time of the fetch.
         is_short : bool
             See :meth:`first_token_s`.
         """
@@ -128,7 +130,7 @@
             reading_s = self.first_token_s(upstream, tokens, now, is_short)
             self.fetch.learn(fetched, seconds - reading_s)
             return
-        line = self._line(is_short)
+        line = self._first_token_model(is_short)
         upstream.reading.learn(seconds / line.predict(tokens), now)
         line.learn(tokens, seconds)
         self.first_token.note_read(own, seconds)
@@ -141,13 +143,13 @@
         uses = self.switches.uses(Mechanism.SPEED_FACTORS)
         return upstream.writing.value(now) if uses else 1.0
 
-    def _line(self, is_short: bool) -> LinearModel | ReadingLine:
+    def _first_token_model(self, is_short: bool) -> LinearModel | FirstTokenModel:
         return self.short_first_token if is_short else self.first_token
 
     def learn_answer(
         self, upstream: Upstream, tokens: int, events: int, seconds: float, now: float
     ) -> None:
-        """Take in the pace of an answer: its events behind the first one, and their time."""
+        """Update the models with an answer: the events after its first one, and their time."""
         if events < 1:
             return
         event_s = seconds / events
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_linear.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_linear.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-MEMORY = 0.98
+SAMPLE_DECAY = 0.98
 """Weight that a sample keeps with each further one: the last fifty or so count."""
 
-MAX_RATIO = 4.0
+MAX_SAMPLE_RATIO = 4.0
 """Largest ratio of a sample to its prediction that is learned from at once. A single request that
 met a crash or a full batch must not double the estimate of all."""
 
@@ -60,8 +60,8 @@
 
     def learn(self, x: float, seconds: float) -> None:
         """Take in a sample."""
-        seconds = min(seconds, MAX_RATIO * self.predict(x))
-        self._sums = [value * MEMORY for value in self._sums]
+        seconds = min(seconds, MAX_SAMPLE_RATIO * self.predict(x))
+        self._sums = [value * SAMPLE_DECAY for value in self._sums]
         self._add(x, seconds)
         count, sum_x, sum_y, sum_xx, sum_xy = self._sums
         spread = count * sum_xx - sum_x * sum_x
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_load_relay.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_load_relay.py
@@ -1,4 +1,4 @@
-"""How figures about upstreams reach hundreds of processes by a few relays."""
+"""Exchange of upstream loads among hundreds of processes through a few relays."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 
 import attrs
 
-from ._pending import NO_LOAD, PEER_KEEP_S, LoadShare
+from ._pending import NO_LOAD, PEER_LOAD_EXPIRY_S, LoadShare
 
-RELAY_SILENCE_S = 0.6
-"""Time after which a relay that says nothing is left for the next one, seconds."""
+RELAY_TIMEOUT_S = 0.6
+"""Time without a message after which a process replaces its relay by the next one, seconds."""
 
 RELAY_RETRY_S = 2.0
-"""Time after which it is tried again, seconds."""
+"""Time after which a replaced relay is tried again, seconds."""
 
-DEAF_S = 0.3
-"""Time between two looks after which a process takes itself and not the relay to have stood still,
-seconds: what it was told meanwhile is not read yet."""
+LOCAL_STALL_S = 0.3
+"""Time between two checks beyond which this process itself, and not the relay, counts as stalled,
+seconds: messages received meanwhile have not been read yet."""
 
-BEAT_S = 0.2
-"""Longest time between two messages of a relay to each process, seconds: a third of the silence
-that makes others turn away."""
+HEARTBEAT_INTERVAL_S = 0.2
+"""Longest time between two messages of a relay to each process, seconds: a third of the time after
+which processes replace it."""
 
-WHOLE_S = 1.0
-"""Time after which figures are told whole and not only what changed, seconds, so that a message
-that was lost with a connection is made up for."""
+FULL_UPDATE_INTERVAL_S = 1.0
+"""Interval of full updates, between which only changes are sent, seconds. They make up for messages
+that were lost with a connection."""
 
-MAX_PARTS_TOLD = 100
-"""Most prompt parts in one message, some kilobytes: the thousands that a process is told after its
-start would keep callers' answers from a small link for most of a second."""
+MAX_PARTS_PER_MESSAGE = 100
+"""Maximum number of prompt parts in one message, some kilobytes: the thousands that a process
+receives after its start would block callers' answers on a slow link for most of a second."""
 
 Shares = Mapping[str, LoadShare]
 Parts = dict[str, dict[str, int]]
 
 
 class RelayWatch:
-    """Chooses the relay that a process speaks to, and leaves one that is silent.
+    """Chooses the relay that a process sends its loads to, and replaces one that sends nothing.
 
-    A frozen or cut-off process keeps its connections open for seconds. Nobody declares it dead:
-    each process turns to the next in an order on which all agree.
+    The connections of a frozen or cut-off process stay open for seconds. No process declares it
+    dead: each one changes to the next relay in an order that is the same at all.
 
     Examples
     --------
@@ -49,38 +49,38 @@
     """
 
     def __init__(self):
-        self._looked_at = float("-inf")
+        self._checked_at = float("-inf")
         self._chosen: str | None = None
-        self._heard_at = 0.0
-        self._left_until: dict[str, float] = {}
+        self._received_at = 0.0
+        self._avoided_until: dict[str, float] = {}
 
     def note_heard(self, relay: str, now: float) -> None:
-        """Note that a process spoke as a relay."""
+        """Record that a message was received from a process as relay."""
         if relay == self._chosen:
-            self._heard_at = now
+            self._received_at = now
 
     def choose(self, ranked: Sequence[str], now: float, me: str | None = None) -> str | None:
-        """Return the relay, None if there is no process.
+        """Return the relay, None if there are no processes.
 
         Parameters
         ----------
         ranked : sequence of str
-            Processes that may be it, the first choice first.
+            Candidates in order of preference.
         now : float
         me : str or None
-            This process, which is never silent.
+            This process, to which the timeout does not apply.
         """
-        if now - self._looked_at > DEAF_S:
-            self._heard_at = now
-        self._looked_at = now
+        if now - self._checked_at > LOCAL_STALL_S:
+            self._received_at = now
+        self._checked_at = now
         for name in ranked:
-            if now < self._left_until.get(name, 0.0):
+            if now < self._avoided_until.get(name, 0.0):
                 continue
             if name != self._chosen:
                 self._chosen = name
-                self._heard_at = now
-            elif name != me and now - self._heard_at > RELAY_SILENCE_S:
-                self._left_until[name] = now + RELAY_RETRY_S
+                self._received_at = now
+            elif name != me and now - self._received_at > RELAY_TIMEOUT_S:
+                self._avoided_until[name] = now + RELAY_RETRY_S
                 continue
             return name
         return ranked[0] if ranked else None
@@ -88,14 +88,14 @@
 
 @attrs.frozen
 class LoadNews:
-    """What one process is told.
+    """A load update for one process.
 
     Parameters
     ----------
     is_whole : bool
-        Whether there is nothing at the upstreams that are not named.
+        Whether upstreams that are not in ``shares`` have no load; otherwise they are unchanged.
     shares : mapping of str to LoadShare
-        By upstream.
+        Load by upstream.
     parts : mapping of str to mapping of str to int
         Tokens of the prompt parts that were read, by upstream and part.
     """
@@ -115,19 +115,19 @@
 @attrs.define
 class _Target:
     is_near: bool
-    told: dict[str, LoadShare] = attrs.field(factory=dict)
-    told_at: float = float("-inf")
-    whole_at: float = float("-inf")
+    sent: dict[str, LoadShare] = attrs.field(factory=dict)
+    sent_at: float = float("-inf")
+    full_sent_at: float = float("-inf")
     parts: Parts = attrs.field(factory=lambda: defaultdict(dict))
 
 
 class LoadRelay:
-    """Adds up what many processes have at the upstreams, for each of them without its own.
+    """Sums the upstream loads of many processes; each receives the sum without its own share.
 
-    Were each process to tell each other one, messages would grow with the square of the processes,
-    and figures would be as old as whole answers. A process tells one relay of its failure domain;
-    the relay tells each of its processes what all others have, and the relays of the other domains
-    what its own domain has.
+    If each process sent its loads to every other one, the number of messages would grow with the
+    square of the processes, and loads would be as old as complete answers. Instead, a process sends
+    its loads to one relay of its failure domain. The relay sends each process of the domain the sum
+    of all others, and the relays of the other domains the sum of its own domain.
 
     Examples
     --------
@@ -147,137 +147,141 @@
     def hear(
         self, source: str, shares: Shares, now: float, is_near: bool, is_whole: bool = True
     ) -> None:
-        """Take over the figures of a process of this domain, or of another domain."""
-        known = {} if is_whole or source not in self._sources else self._sources[source].shares
-        self._sources[source] = _Source({**known, **shares}, now, is_near)
+        """Apply the loads of a process of this domain, or of the relay of another one."""
+        previous = {} if is_whole or source not in self._sources else self._sources[source].shares
+        self._sources[source] = _Source({**previous, **shares}, now, is_near)
 
     def hear_parts(self, source: str, upstream: str, parts: Mapping[str, int]) -> None:
-        """Take over which prompt parts were read at an upstream."""
+        """Queue the prompt parts that a process reports as read at an upstream."""
         is_near = source in self._sources and self._sources[source].is_near
         for name, target in self._targets.items():
             if name != source and (is_near or target.is_near):
                 target.parts[upstream] |= parts
 
     def forget(self, source: str) -> None:
-        """Note that a process is gone."""
+        """Remove a process that has disconnected."""
         self._sources.pop(source, None)
 
     def near_sources(self, now: float) -> list[str]:
-        """Return the processes of this domain that tell this one what they have."""
+        """Return the processes of this domain that send their loads to this one."""
         return [
             name
             for name, source in self._sources.items()
-            if source.is_near and now - source.at <= PEER_KEEP_S
+            if source.is_near and now - source.at <= PEER_LOAD_EXPIRY_S
         ]
 
     def set_targets(self, near: Iterable[str], far: Iterable[str]) -> list[str]:
-        """Take over who is told: processes of this domain, and relays of others.
+        """Set the recipients: processes of this domain, and relays of others.
 
         Returns
         -------
         list of str
-            The processes of this domain that were not told before.
+            The processes of this domain that were not recipients before.
         """
         new = []
         wanted = dict.fromkeys(far, False) | dict.fromkeys(near, True)
         for name in self._targets.keys() - wanted.keys():
             del self._targets[name]
         for name, is_near in wanted.items():
-            known = self._targets.get(name)
-            if known is None or known.is_near != is_near:
+            previous = self._targets.get(name)
+            if previous is None or previous.is_near != is_near:
                 self._targets[name] = _Target(is_near)
                 new += [name] if is_near else []
         return new
 
     def add_parts(self, target: str, upstream: str, parts: Mapping[str, int]) -> None:
-        """Tell one target of prompt parts that are known from before."""
+        """Queue prompt parts that were read earlier for one recipient."""
         self._targets[target].parts[upstream] |= parts
 
     def compose_all(self, now: float) -> dict[str, LoadNews]:
-        """Return what each target is told now; those with no news are left out."""
-        for name in [item for item, known in self._sources.items() if now - known.at > PEER_KEEP_S]:
+        """Return the updates that are due now, by recipient."""
+        for name in [
+            item
+            for item, previous in self._sources.items()
+            if now - previous.at > PEER_LOAD_EXPIRY_S
+        ]:
             del self._sources[name]
-        near = _add_up(item.shares for item in self._sources.values() if item.is_near)
-        every = _add_up(
+        near = _sum_shares(item.shares for item in self._sources.values() if item.is_near)
+        every = _sum_shares(
             [near, *(item.shares for item in self._sources.values() if not item.is_near)]
         )
         composed = {}
         for name, target in self._targets.items():
-            view = _without(every, self._sources.get(name)) if target.is_near else near
-            news = _compose(target, view, now)
-            if news is not None:
-                composed[name] = news
+            view = _subtract_source(every, self._sources.get(name)) if target.is_near else near
+            update = _compose(target, view, now)
+            if update is not None:
+                composed[name] = update
         return composed
 
     def compose(self, target: str, now: float) -> LoadNews | None:
-        """Return what one target is told now, None if there is no news."""
+        """Return the update for one recipient, None if none is due."""
         return self.compose_all(now).get(target)
 
 
-def _add_up(many: Iterable[Shares]) -> dict[str, LoadShare]:
+def _sum_shares(many: Iterable[Shares]) -> dict[str, LoadShare]:
     total: dict[str, LoadShare] = {}
     for shares in many:
         for upstream, share in shares.items():
-            known = total.get(upstream)
-            total[upstream] = share if known is None else _plus(known, share)
+            previous = total.get(upstream)
+            total[upstream] = share if previous is None else _add_shares(previous, share)
     return total
 
 
-def _plus(one: LoadShare, other: LoadShare) -> LoadShare:
+def _add_shares(one: LoadShare, other: LoadShare) -> LoadShare:
     return LoadShare(one.tokens + other.tokens, one.running + other.running)
 
 
-def _without(every: Shares, own: _Source | None) -> Shares:
-    """Return figures less those of one process: it knows its own, and these sooner."""
+def _subtract_source(every: Shares, own: _Source | None) -> Shares:
+    """Return loads without the share of one process, which has its own sooner."""
     if own is None:
         return every
     rest = dict(every)
     for upstream, share in own.shares.items():
-        known = rest[upstream]
-        rest[upstream] = LoadShare(known.tokens - share.tokens, known.running - share.running)
+        previous = rest[upstream]
+        rest[upstream] = LoadShare(previous.tokens - share.tokens, previous.running - share.running)
     return rest
 
 
 def _compose(target: _Target, view: Shares, now: float) -> LoadNews | None:
     view = {upstream: share for upstream, share in view.items() if share != NO_LOAD}
-    is_whole = now - target.whole_at >= WHOLE_S
-    shares: Shares = view if is_whole else _changed(target.told, view)
+    is_whole = now - target.full_sent_at >= FULL_UPDATE_INTERVAL_S
+    shares: Shares = view if is_whole else _changed(target.sent, view)
     parts = _take_parts(target.parts)
-    # An upstream that is named for its parts alone must not seem idle.
+    # An upstream that is named only for its parts must not appear idle.
     shares = {**{name: view.get(name, NO_LOAD) for name in parts}, **shares}
-    is_due = shares or parts or now - target.told_at >= BEAT_S
+    is_due = shares or parts or now - target.sent_at >= HEARTBEAT_INTERVAL_S
     if not (is_due or is_whole):
         return None
-    news = LoadNews(is_whole, shares, parts)
-    target.told = view
-    target.told_at = now
+    update = LoadNews(is_whole, shares, parts)
+    target.sent = view
+    target.sent_at = now
     if is_whole:
-        target.whole_at = now
-    return news
+        target.full_sent_at = now
+    return update
 
 
 def _take_parts(parts: Parts) -> Parts:
-    """Take out as many parts as one message holds."""
+    """Remove and return as many parts as one message holds."""
     taken: Parts = {}
-    room = MAX_PARTS_TOLD
-    while parts and room:
+    remaining = MAX_PARTS_PER_MESSAGE
+    while parts and remaining:
         upstream, waiting = parts.popitem()
         items = list(waiting.items())
-        taken[upstream] = dict(items[:room])
-        if len(items) > room:
-            parts[upstream] = dict(items[room:])
-        room -= len(taken[upstream])
+        taken[upstream] = dict(items[:remaining])
+        if len(items) > remaining:
+            parts[upstream] = dict(items[remaining:])
+        remaining -= len(taken[upstream])
     return taken
 
 
 def _changed(before: Shares, now: Shares) -> dict[str, LoadShare]:
-    """Return the figures that are not the same as before."""
+    """Return the loads that differ from those sent before."""
     changed = {name: share for name, share in now.items() if before.get(name) != share}
     return changed | dict.fromkeys(before.keys() - now.keys(), NO_LOAD)
 
 
 def split_by_domain(domains: Mapping[str, str]) -> dict[str, Collection[str]]:
-    """Return the processes of each failure domain, by the domain of each process."""
+    """Group processes by failure domain."""
     found: dict[str, list[str]] = defaultdict(list)
     for name, domain in domains.items():
         found[domain].append(name)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_losses.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_losses.py
@@ -8,7 +8,7 @@
 """Time over which losses count, seconds: upstreams go down together or soon after each other, and
 the next calm minute says nothing of them."""
 
-COPY_COST = 0.05
+COPY_COST_SHARE = 0.05
 """Part of what a stream is worth that a copy of its memory costs: it takes memory at a second
 upstream and time on the links of both, which other prompts wait for."""
 
@@ -48,7 +48,7 @@
         """
         self._forget(now)
         rate = len(self._lost) / (max(upstreams, 1) * WINDOW_S)
-        return rate * answer_s >= COPY_COST
+        return rate * answer_s >= COPY_COST_SHARE
 
     def _forget(self, now: float) -> None:
         while self._lost and self._lost[0][1] < now - WINDOW_S:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_outcome_ledger.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_outcome_ledger.py
@@ -62,31 +62,31 @@
 
     def __init__(self):
         self._near: frozenset[str] = frozenset()
-        self._untold: dict[str, dict[str, Outcomes]] = {}
+        self._unsent: dict[str, dict[str, Outcomes]] = {}
 
     def set_targets(self, near: Iterable[str], far: Iterable[str]) -> None:
         """Take over who is told: processes of this failure domain, and relays of others."""
         self._near = frozenset(near)
         wanted = [*self._near, *far]
-        self._untold = {name: self._untold.get(name, {}) for name in wanted}
+        self._unsent = {name: self._unsent.get(name, {}) for name in wanted}
 
     def hear(self, source: str, outcomes: OutcomesByUpstream, is_near: bool) -> None:
         """Take in outcomes of a process of this failure domain, or of the relay of another one.
 
         What comes from another domain is told within this one only: its relay tells the others.
         """
-        for name, untold in self._untold.items():
+        for name, unsent in self._unsent.items():
             if name != source and (is_near or name in self._near):
-                add_outcomes(untold, outcomes)
+                add_outcomes(unsent, outcomes)
 
     def has_failures(self, target: str) -> bool:
         """Return whether failures are to be told to a process."""
-        return any(outcomes.failed for outcomes in self._untold[target].values())
+        return any(outcomes.failed for outcomes in self._unsent[target].values())
 
     def take(self, target: str) -> dict[str, Outcomes]:
         """Return what one process is to be told, and take it as told."""
-        untold, self._untold[target] = self._untold[target], {}
-        return untold
+        unsent, self._unsent[target] = self._unsent[target], {}
+        return unsent
 
 
 def add_outcomes(total: dict[str, Outcomes], outcomes: OutcomesByUpstream) -> None:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_pending.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_pending.py
@@ -1,4 +1,4 @@
-"""Prompt tokens that wait to be read at an upstream."""
+"""Prompt tokens and requests that are pending at an upstream."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 import attrs
 
-PEER_KEEP_S = 2.5
-"""Age at which the figures of another process are dropped, seconds. It says something every second
-while it lives; its requests end with it."""
+PEER_LOAD_EXPIRY_S = 2.5
+"""Age at which the load of another process is dropped, seconds. A live process sends its load every
+second; the requests of a terminated one end with it."""
 
 
 @attrs.frozen
 class LoadShare:
-    """What one process has at one upstream.
+    """Load of one process at one upstream.
 
     Parameters
     ----------
     tokens : int
-        Prompt tokens whose first answer token has not come.
+        Tokens of prompts whose first answer token has not arrived.
     running : int
-        Requests.
+        Number of requests.
     """
 
     tokens: int
@@ -28,20 +28,20 @@
 
 
 NO_LOAD = LoadShare(0, 0)
-"""What a process has at an upstream where it has nothing."""
+"""Load of a process that has no requests at an upstream."""
 
 
 class PendingPrompts:
-    """What is under way at one upstream, of this process and of its peers.
+    """Pending prompts of this process and its peers at one upstream.
 
-    A decision asks for the sums of all upstreams that it looks at, many thousand times in a second
-    under load, so they are kept and not added up anew at each question.
+    A decision reads the sums of all candidate upstreams, many thousand times per second under load,
+    so they are maintained incrementally.
     """
 
     def __init__(self):
-        self._own: dict[str, tuple[int, float]] = {}
+        self._own_requests: dict[str, tuple[int, float]] = {}
         self._own_tokens = 0
-        # In the order in which they were heard, the oldest first.
+        # In order of arrival, the oldest first.
         self._peers: OrderedDict[str, tuple[LoadShare, float]] = OrderedDict()
         self._peer_tokens = 0
         self._peer_running = 0
@@ -52,18 +52,18 @@
         return self._own_tokens
 
     def add(self, call: str, tokens: int, now: float) -> None:
-        """Note that a request was sent."""
+        """Record that a request was sent."""
         self.remove(call)
-        self._own[call] = (tokens, now)
+        self._own_requests[call] = (tokens, now)
         self._own_tokens += tokens
 
     def remove(self, call: str) -> None:
-        """Note the first token of a request, or its end."""
-        tokens, _ = self._own.pop(call, (0, 0.0))
+        """Record the first token of a request, or its end."""
+        tokens, _ = self._own_requests.pop(call, (0, 0.0))
         self._own_tokens -= tokens
 
     def hear(self, peer: str, share: LoadShare, now: float) -> None:
-        """Take over the figures of another process."""
+        """Set the load of another process."""
         self._forget(peer)
         if share.tokens or share.running:
             self._peers[peer] = (share, now)
@@ -71,19 +71,19 @@
             self._peer_running += share.running
 
     def tokens(self, now: float) -> int:
-        """Return the prompt tokens of all processes."""
-        self._drop_old(now)
+        """Return the pending prompt tokens of all processes."""
+        self._drop_expired(now)
         return self._own_tokens + self._peer_tokens
 
     def running_elsewhere(self, now: float) -> int:
-        """Return the requests of the other processes."""
-        self._drop_old(now)
+        """Return the number of requests of the other processes."""
+        self._drop_expired(now)
         return self._peer_running
 
     def oldest_s(self, now: float) -> float:
-        """Return the age of the request that has waited longest for its first token, seconds."""
-        # Requests are kept in the order they were sent.
-        for _, at in self._own.values():
+        """Return the age of this process's oldest request without a first token, seconds."""
+        # Requests are kept in the order in which they were sent.
+        for _, at in self._own_requests.values():
             return now - at
         return 0.0
 
@@ -92,9 +92,9 @@
         self._peer_tokens -= share.tokens
         self._peer_running -= share.running
 
-    def _drop_old(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         while self._peers:
             peer, (_, at) = next(iter(self._peers.items()))
-            if at >= now - PEER_KEEP_S:
+            if at >= now - PEER_LOAD_EXPIRY_S:
                 return
             self._forget(peer)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_placing.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_placing.py
@@ -1,4 +1,4 @@
-"""Where a prompt is read: what it gains there against what it costs the others."""
+"""Placement of prompts by the time a request gains at an upstream and the delay of others there."""
 
 from __future__ import annotations
 
@@ -12,63 +12,69 @@
 from ._prompts import Prompt
 from ._upstreams import Upstream
 
-READ_HARM = 0.7
-"""Delay that the reading of shared tokens counts for, beside its own time, for each request that
-runs at the upstream, in times of that time. All that runs there waits meanwhile, and the tokens
-push others out of memory, which are then read again in their turn."""
-
-WRITE_HARM = 0.08
-"""Delay that the reading of any tokens counts for, for each request that runs at the upstream, in
-times of the reading. While a prompt is read, the answers beside it are written four to five times
-more slowly, and long ones run out of time. With it long prompts and long answers part."""
-
-FETCH_SHARE = 0.35
-"""Part of the same delay that fetching shared tokens from another upstream counts for: the fetch
-takes some hundredths of the time, but the tokens then take memory and time of the link at
-both."""
-
-FULL_COST_S = 1.0
-"""Cost of an upstream whose places are all taken, seconds: a request waits there until an answer of
-the usual length ends, while another upstream may have a place at once."""
-
-HOMES_LOOKED_AT = 6
-HOLDERS_LOOKED_AT = 3
-"""Upstreams that one decision weighs: the first homes of the shared part, which for each part are
-others, and those that hold most of the prompt. More hardly find a better one, and a decision would
-take longer with each upstream: small processes would notice late that a caller has left."""
-
-MANY_PROCESSES = 16
-HOMES_OF_MANY = 3
-"""Homes that one decision weighs where this many processes or more decide. Figures of the others
-are some hundredths of a second old, so that all who look at many upstreams find the same one idle
-at the same moment and send their prompts there, one behind the other."""
-
-APART_COST_S = 1.0
-"""Cost of a steady stream beside long prompts, or of a long prompt beside steady streams, seconds:
-as much as a place that is not free, so that it only happens where the others are overrun."""
-
-OTHERS_LOOKED_AT = 2
-"""Upstreams beyond those meant for a request that one decision weighs while some are set apart."""
-
-OVERDUE_SHARE = 0.5
-"""Part of the age of the oldest unanswered request that counts as delay of a new one."""
+SHARED_READ_COST_PER_RUNNING = 0.7
+"""Cost of reading shared tokens a second time, per running request at the upstream, as a multiple
+of their reading time. All running requests are delayed meanwhile, and the tokens evict others from
+memory, which must then be read again."""
+
+READ_COST_PER_RUNNING = 0.08
+"""Cost of reading any tokens, per running request at the upstream, as a multiple of the reading
+time. While a prompt is read, the answers of running requests are generated four to five times more
+slowly, and long ones exceed their time limits. The cost places long prompts and long answers at
+different upstreams."""
+
+FETCH_COST_SHARE = 0.35
+"""Share of the cost of a second read that fetching shared tokens from another upstream has: the
+fetch takes some hundredths of the time, but the tokens then occupy memory, and link time at both
+upstreams."""
+
+FULL_UPSTREAM_COST_S = 1.0
+"""Cost of an upstream without a free place, seconds: a request waits there until an answer of the
+usual length ends, while another upstream may have a free place at once."""
+
+PREFERRED_CANDIDATES = 6
+HOLDER_CANDIDATES = 3
+"""Upstreams that one decision evaluates: the first ones in the preference order of the shared part,
+which differs between parts, and those that hold most of the prompt. More candidates hardly improve
+the result, and the time of a decision grows with each: small processes would notice late that a
+caller has disconnected."""
+
+LARGE_FLEET_PROCESSES = 16
+PREFERRED_CANDIDATES_LARGE_FLEET = 3
+"""Preferred upstreams that one decision evaluates where at least ``LARGE_FLEET_PROCESSES``
+processes decide. Loads received from other processes are some hundredths of a second old, so with
+many candidates all processes find the same upstream idle at the same moment and send their prompts
+there, where they queue behind each other."""
+
+RESERVATION_MISMATCH_COST_S = 1.0
+"""Cost of a steady stream at an upstream that is not reserved for such streams, or of any other
+request at a reserved one, seconds: the same as for an upstream without a free place, so that it
+only happens where the matching upstreams are overloaded."""
+
+FALLBACK_CANDIDATES = 2
+"""Upstreams on the other side of the reservation that one decision evaluates."""
+
+OLDEST_WAIT_SHARE = 0.5
+"""Share of the age of the oldest unanswered request that is the least predicted delay of a new one.
+"""
 
 
 @attrs.frozen
 class Demand:
-    """What one request asks of an upstream.
+    """Requirements of one request.
 
     Parameters
     ----------
     prompt : Prompt
     target_s : float
-        Time in which the first token is due, seconds.
+        Target for the time to the first token, seconds.
     patience_s : float
-        Time in which the whole answer is due, seconds.
+        Time limit of the complete answer, seconds.
     short_s : float
         Reading time up to which the prompt overtakes others at the upstream, seconds.
     is_steady : bool
-        Whether the answer must be written more steadily than others.
+        Whether the answer is a steady stream: its target for pauses is stricter than that of
+        other streams.
     """
 
     prompt: Prompt
@@ -80,7 +86,7 @@
 
 @attrs.frozen
 class Placement:
-    """An upstream for one request.
+    """A candidate upstream for one request, with the predicted times.
 
     Parameters
     ----------
@@ -88,19 +94,19 @@
     first_token_s : float
         Predicted time to the first token, seconds.
     backlog_s : float
-        The part of it that the reading of other prompts takes, seconds.
+        The share of it spent on reading other prompts, seconds.
     answer_s : float
         Predicted time from the first token to the end of the answer, seconds.
     tokens : int
-        Prompt tokens that are read for the request.
+        Prompt tokens that must be read for the request.
     is_warm : bool
-        Whether all shared parts are in memory there or are fetched.
+        Whether all shared parts are cached at the upstream or are fetched.
     source : Upstream or None
-        Where the upstream fetches shared parts from that it does not have.
+        The upstream that missing shared parts are fetched from.
     fetched_tokens : int
-        Prompt tokens that it fetches.
+        Prompt tokens that are fetched.
     is_short : bool
-        Whether the reading is so short that the request overtakes others.
+        Whether the reading time is short enough for the request to overtake others.
     """
 
     upstream: Upstream
@@ -115,12 +121,12 @@
 
 
 class PlacementRound:
-    """The upstreams of a service at one moment, for the decisions of that moment.
+    """A snapshot of the upstreams of a service, for all decisions of one moment.
 
     Parameters
     ----------
     upstreams : sequence of Upstream
-        Of the service.
+        All upstreams of the service.
     model : EngineModel
     now : float
     """
@@ -130,10 +136,10 @@
         self.model = model
         self.now = now
         self._usable = usable_upstreams(upstreams, (), now, model.switches)
-        self._set_apart: frozenset[str] = frozenset()
+        self._reserved: frozenset[str] = frozenset()
         if model.switches.uses(Mechanism.SET_APART):
-            # Of all that take work, sound or not: the choice must not change with each failure.
-            self._set_apart = model.pace.choose([item for item in upstreams if item.takes_work()])
+            # Healthy or not, all that accept work: the choice must not change with each failure.
+            self._reserved = model.pace.choose([item for item in upstreams if item.takes_work()])
 
     def place(self, demand: Demand, tried: Collection[str] = ()) -> Placement | None:
         """Return the best placement of a prompt, None if no upstream may be used.
@@ -142,18 +148,19 @@
         ----------
         demand : Demand
         tried : collection of str
-            Ids of the upstreams that the request was sent to already.
+            Ids of the upstreams that the request has been sent to already.
 
         Notes
         -----
-        Upstreams are ranked by the shared part, the same way at every process. The first is its
-        home: a part that is nowhere is read there, so that each part takes memory at one upstream
-        only. Home is left for another upstream when the wait there is longer than what the reading
-        would cost.
-
-        The time of the answer counts in proportion to the patience of the caller as the time to the
-        first token does to the target. Without it, long answers gather where much is read and run
-        out of time there.
+        All processes rank the upstreams by the shared part in the same order. The first one is the
+        preferred upstream of the part: a part that no upstream holds is read there, so that each
+        part occupies memory at one upstream only. Another upstream is used when waiting at the
+        preferred one takes longer than reading the part again would cost.
+
+        The time of the answer is weighted by the target divided by the patience of the caller: it
+        counts in proportion to the patience as the time to the first token does to the target.
+        Without it, long answers accumulate at upstreams that read much and exceed their time limits
+        there.
         """
         prompt = demand.prompt
         holders = find_holders(self.upstreams, prompt, self.now)
@@ -169,41 +176,45 @@
     def _list_candidates(
         self, demand: Demand, holders: Sequence[Holder], tried: Collection[str]
     ) -> list[Upstream]:
-        """Return the upstreams that are looked at, the home of the prompt first."""
+        """Return the candidate upstreams, the preferred one of the prompt first."""
         prompt = demand.prompt
-        homes = HOMES_LOOKED_AT if self.model.processes < MANY_PROCESSES else HOMES_OF_MANY
+        preferred_count = (
+            PREFERRED_CANDIDATES
+            if self.model.processes < LARGE_FLEET_PROCESSES
+            else PREFERRED_CANDIDATES_LARGE_FLEET
+        )
         usable = self._usable
         if tried:
             usable = usable_upstreams(self.upstreams, tried, self.now, self.model.switches)
-        if self._set_apart:
-            meant = [item for item in usable if self._is_apart(item) == demand.is_steady]
-            others = [item for item in usable if self._is_apart(item) != demand.is_steady]
-            found = rank_homes(meant, prompt.key, homes)
-            found += rank_homes(others, prompt.key, OTHERS_LOOKED_AT)
+        if self._reserved:
+            matching = [item for item in usable if self._is_reserved(item) == demand.is_steady]
+            mismatched = [item for item in usable if self._is_reserved(item) != demand.is_steady]
+            found = rank_homes(matching, prompt.key, preferred_count)
+            found += rank_homes(mismatched, prompt.key, FALLBACK_CANDIDATES)
         else:
-            found = rank_homes(usable, prompt.key, homes)
-        for holder in holders[:HOLDERS_LOOKED_AT]:
+            found = rank_homes(usable, prompt.key, preferred_count)
+        for holder in holders[:HOLDER_CANDIDATES]:
             if holder.upstream in usable and holder.upstream not in found:
                 found.append(holder.upstream)
         return found
 
-    def _is_apart(self, upstream: Upstream) -> bool:
-        return upstream.id in self._set_apart
+    def _is_reserved(self, upstream: Upstream) -> bool:
+        return upstream.id in self._reserved
 
     def _cost(self, placement: Placement, demand: Demand, rank: int) -> float:
-        """Return what a placement costs the request and those beside it, seconds."""
+        """Return the cost of a placement for the request and for those beside it, seconds."""
         answer_weight = 0.0
         if self.model.switches.uses(Mechanism.ANSWER_PACE):
             answer_weight = demand.target_s / demand.patience_s
         cost = placement.first_token_s + answer_weight * placement.answer_s
-        cost += _harm(placement, demand.prompt, rank, self.model, self.now)
+        cost += _slowdown_cost_s(placement, demand.prompt, rank, self.model, self.now)
         if placement.is_short:
-            # It overtakes what is to be read there, but its answer is written slowly beside it.
+            # It overtakes the prompts in the backlog, but reading them slows its answer down.
             cost += placement.backlog_s
         if not placement.upstream.has_place(self.now):
-            cost += FULL_COST_S
-        if self._set_apart and self._is_apart(placement.upstream) != demand.is_steady:
-            cost += APART_COST_S
+            cost += FULL_UPSTREAM_COST_S
+        if self._reserved and self._is_reserved(placement.upstream) != demand.is_steady:
+            cost += RESERVATION_MISMATCH_COST_S
         return cost
 
 
@@ -218,32 +229,39 @@
     return PlacementRound(upstreams, model, now).place(demand, tried)
 
 
-def _harm(placement: Placement, prompt: Prompt, rank: int, model: EngineModel, now: float) -> float:
-    """Return what a placement costs the other requests at the upstream, seconds."""
+def _slowdown_cost_s(
+    placement: Placement, prompt: Prompt, rank: int, model: EngineModel, now: float
+) -> float:
+    """Return the cost of a placement for the other requests at the upstream, seconds."""
     upstream = placement.upstream
-    # A part that is nowhere must be read at some upstream, and the first one is that.
-    is_home = rank == 0 and model.switches.uses(Mechanism.HOMES)
-    shared = 0 if is_home else max(0, placement.tokens - prompt.own_tokens)
-    reread_s = model.reading_s(upstream, shared + FETCH_SHARE * placement.fetched_tokens, now)
+    # A part that no upstream holds must be read once somewhere: at the preferred upstream.
+    is_preferred = rank == 0 and model.switches.uses(Mechanism.HOMES)
+    shared = 0 if is_preferred else max(0, placement.tokens - prompt.own_tokens)
+    reread_s = model.reading_s(upstream, shared + FETCH_COST_SHARE * placement.fetched_tokens, now)
     read_s = model.reading_s(upstream, placement.tokens, now)
     running = upstream.running(now)
-    read_harm = READ_HARM * running if model.switches.uses(Mechanism.READ_HARM) else 0.0
-    write_harm = WRITE_HARM * running if model.switches.uses(Mechanism.WRITE_HARM) else 0.0
-    return (1 + read_harm) * reread_s + write_harm * read_s
+    shared_factor = (
+        SHARED_READ_COST_PER_RUNNING * running if model.switches.uses(Mechanism.READ_HARM) else 0.0
+    )
+    read_factor = (
+        READ_COST_PER_RUNNING * running if model.switches.uses(Mechanism.WRITE_HARM) else 0.0
+    )
+    return (1 + shared_factor) * reread_s + read_factor * read_s
 
 
 @attrs.frozen
 class Holder:
-    """An upstream that has a prompt from its beginning on, but for some tokens."""
+    """An upstream that holds a prompt from its beginning, all but ``missing`` tokens."""
 
     upstream: Upstream
     missing: int
 
 
 def find_holders(upstreams: Sequence[Upstream], prompt: Prompt, now: float) -> list[Holder]:
-    """Return the upstreams that hold parts of a prompt, the fullest first.
+    """Return the upstreams that hold parts of a prompt, those with the fewest missing tokens first.
 
-    One that leaves still hands out what it has; one that does not answer would be waited for.
+    A draining upstream still serves fetches of its parts. One that is unreachable is left out,
+    since the request would wait for the fetch in vain.
     """
     first = prompt.parts[0][0]
     held = [
@@ -272,7 +290,7 @@
     predicted = model.first_token_s(upstream, ahead + read, now, is_short)
     if source is not None:
         predicted += model.fetch_s(fetched)
-    overdue = OVERDUE_SHARE * upstream.pending.oldest_s(now)
+    overdue = OLDEST_WAIT_SHARE * upstream.pending.oldest_s(now)
     return Placement(
         upstream,
         max(predicted, overdue),
@@ -289,7 +307,7 @@
 def _find_source(
     upstream: Upstream, missing: int, holders: Sequence[Holder], model: EngineModel, now: float
 ) -> tuple[Upstream | None, int]:
-    """Return where missing tokens come from faster than they are read, and how many do."""
+    """Return the upstream to fetch missing tokens from, if that is faster, and their number."""
     if not model.switches.uses(Mechanism.FETCHES):
         return None, 0
     for holder in holders:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_polling.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_polling.py
@@ -1,4 +1,4 @@
-"""Which processes ask the platform for the changes of a table, and when the others ask too."""
+"""Choice of the processes that poll the platform for changes of a table, and fallback polling."""
 
 from __future__ import annotations
 
@@ -9,47 +9,48 @@
 from ._mechanisms import ALL_ON, Mechanism, Switches
 from ._ranking import rank_processes
 
-POLLERS = 3
-"""Processes that wait at the platform for the changes of one table: with one alone, its loss would
-delay changes for all until they notice."""
+POLLERS_PER_TABLE = 3
+"""Processes that poll the platform for the changes of one table. If the only poller failed, all
+processes would receive changes late until they notice."""
 
-OVERDUE_SHARES = (1.2, 1.5)
-"""Age of the last confirmation at which a process asks by itself, in times of the longest wait of a
-question. Drawn anew each time: the first to ask tells the others, so that they need not."""
+OVERDUE_WAIT_FACTORS = (1.2, 1.5)
+"""Age of the last confirmation at which a process that is no poller polls by itself, as a multiple
+of the longest wait of a request. Sampled anew each time: the first to poll sends the answer to the
+others, so that they need not poll."""
 
-STEP_DOWN_S = 3.0
-"""Time for which a poller that the platform did not answer leaves the asking to others, seconds."""
+POLLER_BACKOFF_S = 3.0
+"""Time for which a poller that the platform did not answer leaves polling to others, seconds."""
 
-STAND_IN_S = 10.0
-"""Time for which a process polls after nobody told it anything, seconds."""
+SUBSTITUTE_POLL_S = 10.0
+"""Time for which a process polls after it has received no updates from peers, seconds."""
 
 REREAD_DELAYS_S = (0.05, 0.6)
-"""Time after which a process that does not poll reads a table again whose store came back from a
-copy, seconds. Drawn anew each time: all processes hear of it at the same moment."""
+"""Delay before a process that is no poller reads a table again whose store was restored from a
+copy, seconds. Sampled anew each time, as all processes are informed at the same moment."""
 
-FOREVER_S = 3600.0
-"""Time since the last trouble that is told where there was none, seconds."""
+MAX_AGE_S = 3600.0
+"""Upper limit of reported ages, and the age reported if there was no event, seconds."""
 
 
 class Fit(enum.Enum):
-    """How changes that a peer tells of relate to what a process knows."""
+    """Relation of changes received from a peer to the known revision."""
 
     NEXT = "next"
-    """They go on from there."""
+    """They continue from the known revision."""
     KNOWN = "known"
-    """They are known already."""
+    """They are already known."""
     GAP = "gap"
-    """There are changes before them that the process does not know."""
+    """There are earlier changes that the process does not have."""
 
 
 class PollTurn:
-    """Decides when a process asks the platform for the changes of one table.
+    """Decides when a process polls the platform for the changes of one table.
 
-    With hundreds of processes that each ask every second or two, almost all calls return what the
-    neighbours have just heard, and the platform limits and charges them. So a few processes poll
-    and tell all others what they hear. Nobody is appointed: each process ranks those that it is
-    connected to. Where the ranking or the telling fails, what a process last heard grows old, and
-    it asks by itself, so that a lost poller means older news and never none.
+    If hundreds of processes polled every second or two, almost all calls would return what other
+    processes have just received, and the platform limits and charges calls. So a few processes poll
+    and broadcast what they receive. They are not elected: each process ranks those that it is
+    connected to. If the ranking or the broadcast fails, the data of a process becomes older, and it
+    polls by itself; the loss of a poller therefore delays updates and never stops them.
 
     Parameters
     ----------
@@ -70,139 +71,141 @@
         self.switches = switches
         self.is_poller = True
         self._as_of = float("-inf")
-        self._overdue_share = rng.uniform(*OVERDUE_SHARES)
-        self._missed = False
-        self._told_at = float("-inf")
-        self._troubled_at = float("-inf")
+        self._overdue_factor = rng.uniform(*OVERDUE_WAIT_FACTORS)
+        self._has_gap = False
+        self._peer_confirmed_at = float("-inf")
+        self._failed_at = float("-inf")
         self._is_failing = False
-        self._steps_down_until = float("-inf")
-        self._stands_in_until = float("-inf")
+        self._backs_off_until = float("-inf")
+        self._substitutes_until = float("-inf")
 
     def polls(self, now: float) -> bool:
-        """Return whether the process waits at the platform for changes."""
+        """Return whether the process is a poller at present."""
         if not self.switches.uses(Mechanism.SHARED_POLLS):
             return True
-        if now < self._steps_down_until:
+        if now < self._backs_off_until:
             return False
-        return self.is_poller or now < self._stands_in_until
+        return self.is_poller or now < self._substitutes_until
 
     def is_due(self, now: float, wait_s: float) -> bool:
-        """Return whether the process asks now.
+        """Return whether the process sends a request to the platform now.
 
         Parameters
         ----------
         now : float
         wait_s : float
-            Longest wait of a question, seconds.
+            Longest time that the platform holds a request, seconds.
         """
-        return self._missed or self.polls(now) or now >= self._overdue_at(wait_s)
+        return self._has_gap or self.polls(now) or now >= self._overdue_at(wait_s)
 
     def next_due_at(self, now: float, wait_s: float) -> float:
-        """Return when the process asks at the latest if it hears nothing."""
+        """Return when the process polls at the latest if it receives no updates."""
         due = self._overdue_at(wait_s)
-        if self.is_poller and now < self._steps_down_until:
-            due = min(due, self._steps_down_until)
+        if self.is_poller and now < self._backs_off_until:
+            due = min(due, self._backs_off_until)
         return due
 
     def hold_s(self, now: float, wait_s: float) -> float:
-        """Return how long the platform may hold a question that is asked now, seconds.
+        """Return how long the platform may hold a request that is sent now, seconds.
 
-        One that only makes up for what was missed is answered at once, and so is the first one
-        after a failure: what is known is old by then, and the end of a wait would confirm it late.
+        A request that only fills a gap is to be answered at once, and so is the first one after a
+        failure: the data is old by then, and a confirmation at the end of the wait would be late.
         """
         return wait_s if self.polls(now) and not self._is_failing else 0.0
 
     def tells(self, now: float, wait_s: float) -> bool:
-        """Return whether the others are told the answer to a question that is asked now.
+        """Return whether the answer to a request that is sent now is broadcast.
 
-        After a gap many processes ask at once, and all have pollers that tell them the rest.
+        After a gap many processes send requests at once, and all receive later changes from
+        pollers.
         """
         return self.polls(now) or now >= self._overdue_at(wait_s)
 
     def reads_first(self, now: float) -> bool:
-        """Return whether the process reads a table at once after its store came back.
+        """Return whether the process reads a table at once after its store was restored.
 
-        Such a process tells the others. One that left the asking to others while the store was away
-        does so too: all pollers may have, and then nobody would tell.
+        Such a process broadcasts the result. A poller that backed off while the store was
+        unavailable does so too: all pollers may have backed off, and then no process would
+        broadcast.
         """
         return self.is_poller or self.polls(now)
 
     def reread_delay_s(self, now: float) -> float:
-        """Return how long to wait before a table is read again after its store came back."""
+        """Return the delay before a table is read again after its store was restored, seconds."""
         return 0.0 if self.reads_first(now) else self.rng.uniform(*REREAD_DELAYS_S)
 
     def judge(self, known: int, after: int, upto: int) -> Fit:
-        """Return how changes that a peer tells of fit what is known.
+        """Return how changes received from a peer relate to the known revision.
 
         Parameters
         ----------
         known : int
-            Revision up to which the process knows all changes.
+            Revision up to which the process has all changes.
         after, upto : int
-            The changes are all those behind the one revision up to the other, in the same era of
-            the store.
+            The received changes are all those after revision ``after`` up to and including
+            ``upto``, in the same era of the store.
         """
         if upto <= known:
             return Fit.KNOWN
         if after > known:
-            self._missed = True
+            self._has_gap = True
             return Fit.GAP
-        self._missed = False
+        self._has_gap = False
         return Fit.NEXT
 
     def confirm(self, as_of: float) -> None:
-        """Note a moment as of which the process knows all changes."""
+        """Record a time as of which the process has all changes."""
         if as_of > self._as_of:
             self._as_of = as_of
-            self._overdue_share = self.rng.uniform(*OVERDUE_SHARES)
+            self._overdue_factor = self.rng.uniform(*OVERDUE_WAIT_FACTORS)
 
     def confirm_by_peer(self, as_of: float, now: float) -> None:
-        """Note such a moment that a peer told of."""
-        self._told_at = now
-        if as_of > self._troubled_at:
-            # The platform has turned away this process alone, or answers again.
-            self._end_trouble(as_of)
+        """Record such a time received from a peer."""
+        self._peer_confirmed_at = now
+        if as_of > self._failed_at:
+            # The platform rejected only this process, or has recovered.
+            self._record_recovery(as_of)
         self.confirm(as_of)
 
     def succeed(self, as_of: float, now: float, wait_s: float) -> None:
-        """Note that the platform answered a question."""
-        if not self._missed and not self.polls(now) and now >= self._overdue_at(wait_s):
-            self._stands_in_until = now + STAND_IN_S
-        self._missed = False
-        self._end_trouble(now)
+        """Record that the platform answered a request."""
+        if not self._has_gap and not self.polls(now) and now >= self._overdue_at(wait_s):
+            self._substitutes_until = now + SUBSTITUTE_POLL_S
+        self._has_gap = False
+        self._record_recovery(now)
         self.confirm(as_of)
 
-    def _end_trouble(self, now: float) -> None:
-        """Note that the platform answers, if it did not before."""
+    def _record_recovery(self, now: float) -> None:
+        """Record that the platform answers, if it did not before."""
         if self._is_failing:
-            # The trouble may have lasted until now: nothing was heard since it was noticed.
-            self._troubled_at = now
+            # The failure may have lasted until now: there was no answer since it began.
+            self._failed_at = now
             self._is_failing = False
 
     def fail(self, now: float) -> None:
-        """Note that the platform did not answer a question.
+        """Record that the platform did not answer a request.
 
-        While others tell what they hear, asking again and again gains nothing.
+        While peers send updates, retrying at once gains nothing.
         """
-        self._troubled_at = now
+        self._failed_at = now
         self._is_failing = True
-        if now - self._told_at < STEP_DOWN_S:
-            self._steps_down_until = now + STEP_DOWN_S
+        if now - self._peer_confirmed_at < POLLER_BACKOFF_S:
+            self._backs_off_until = now + POLLER_BACKOFF_S
 
     def age_s(self, now: float) -> float:
         """Return the time since the last confirmation, seconds."""
-        return min(now - self._as_of, FOREVER_S)
+        return min(now - self._as_of, MAX_AGE_S)
 
     def steady_s(self, now: float) -> float:
-        """Return the time since the platform may last have been in trouble, seconds."""
-        return min(now - self._troubled_at, FOREVER_S)
+        """Return the time since the platform last failed as far as is known, seconds."""
+        return min(now - self._failed_at, MAX_AGE_S)
 
     def _overdue_at(self, wait_s: float) -> float:
-        return self._as_of + self._overdue_share * wait_s
+        return self._as_of + self._overdue_factor * wait_s
 
 
 def is_poller(table: str, me: str, others: Iterable[str]) -> bool:
-    """Return whether a process is one of those that poll a table.
+    """Return whether a process is one of the pollers of a table.
 
     Parameters
     ----------
@@ -210,7 +213,7 @@
     me : str
         Incarnation of the process.
     others : iterable of str
-        Those of the processes that it is connected to.
+        Incarnations of the processes that it is connected to.
 
     Examples
     --------
@@ -218,4 +221,4 @@
     >>> sum(is_poller("table", me, set(names) - {me}) for me in names)
     3
     """
-    return me in rank_processes(table, [me, *others])[:POLLERS]
+    return me in rank_processes(table, [me, *others])[:POLLERS_PER_TABLE]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts, and which of their parts an upstream has in memory."""
+"""Prompts, and a model of the prompt parts that an upstream has in memory."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import attrs
 
-DEFAULT_TOKENS = 250_000
-"""Tokens that an upstream is taken to keep where the configuration does not say, of the order of
-present accelerators. With too large a figure parts seem to be in memory that are read anew; with
-too small a one they are spread."""
+DEFAULT_CAPACITY_TOKENS = 250_000
+"""Tokens that an upstream is assumed to keep if the configuration does not say, of the order of
+present accelerators. With too large a value, evicted parts are assumed to be cached and are read
+again; with too small a value, requests with one part are spread over more upstreams than needed."""
 
 
 @attrs.frozen
@@ -20,10 +20,10 @@
     Parameters
     ----------
     parts : tuple of (str, int)
-        Id and tokens of each part in their order. Other requests share the parts before the last
-        one, which belongs to the request or its session.
+        Id and tokens of each part, in order. Other requests may share all but the last part, which
+        belongs to the request or its session.
     answer_tokens : int
-        Longest answer.
+        Maximum number of tokens of the answer.
     """
 
     parts: tuple[tuple[str, int], ...]
@@ -31,7 +31,7 @@
 
     @property
     def key(self) -> str:
-        """Id of the part by which upstreams are ranked: the last that is shared."""
+        """Id of the part by which upstreams are ranked: the last shared part."""
         return self.parts[-2][0] if len(self.parts) > 1 else self.parts[0][0]
 
     @property
@@ -40,7 +40,7 @@
         return sum(tokens for _, tokens in self.parts)
 
     def tokens_from(self, position: int) -> int:
-        """Return the tokens of the part at a position and of all behind it."""
+        """Return the tokens of the part at a position and of all following parts."""
         return sum(tokens for _, tokens in self.parts[position:])
 
     @property
@@ -50,10 +50,10 @@
 
 
 class PromptMemory:
-    """The prompt parts that an upstream has in memory, as far as sends tell.
+    """The prompt parts that an upstream has in memory, estimated from the requests sent there.
 
-    Upstreams publish late and at a price what they keep. All processes together know what was sent
-    there, and the least recently used parts yield when the memory is full.
+    Upstreams publish the parts that they keep late and at a cost. All processes together know what
+    was sent there, and the least recently used parts are evicted when the memory is full.
 
     Examples
     --------
@@ -66,46 +66,48 @@
     """
 
     def __init__(self):
-        self._capacity = DEFAULT_TOKENS
+        self._capacity = DEFAULT_CAPACITY_TOKENS
         self._parts: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
-        # How many requests are on their way that will read a part.
-        self._coming: dict[str, int] = {}
+        # Number of pending requests that will read a part, by part.
+        self._pending_reads: dict[str, int] = {}
 
     def set_capacity(self, tokens: int) -> None:
-        """Take over how many tokens the upstream keeps."""
+        """Set how many tokens the upstream keeps."""
         self._capacity = tokens
-        self._drop_beyond()
+        self._evict_over_capacity()
 
     def note(self, part: str, tokens: int) -> None:
-        """Note that a part was read there, or was found in memory."""
+        """Record that a part was read at the upstream, or found in its memory."""
         self._put(part, tokens)
-        self._coming.pop(part, None)
-        self._drop_beyond()
+        self._pending_reads.pop(part, None)
+        self._evict_over_capacity()
 
-    def note_coming(self, part: str, tokens: int) -> None:
-        """Note that a request was sent that will read a part, unless it is in memory already."""
-        is_read = part in self._parts and part not in self._coming
+    def record_pending_read(self, part: str, tokens: int) -> None:
+        """Record that a request was sent that will read a part, unless the part is cached."""
+        is_read = part in self._parts and part not in self._pending_reads
         self._put(part, tokens)
         if not is_read:
-            self._coming[part] = self._coming.get(part, 0) + 1
-        self._drop_beyond()
+            self._pending_reads[part] = self._pending_reads.get(part, 0) + 1
+        self._evict_over_capacity()
 
     def note_abandoned(self, part: str) -> None:
-        """Note that a request ended before it had read a part."""
-        if part not in self._coming:
+        """Record that a request ended before it had read a part."""
+        if part not in self._pending_reads:
             return
-        self._coming[part] -= 1
-        if self._coming[part] == 0:
+        self._pending_reads[part] -= 1
+        if self._pending_reads[part] == 0:
             self._drop(part)
 
     def holds(self, part: str) -> bool:
-        """Return whether a part is in memory, or will be once what was sent is read."""
+        """Return whether a part is in memory, or will be when the pending requests are read."""
         return part in self._parts
 
     def newest(self, count: int) -> dict[str, int]:
-        """Return the tokens of the parts that were read or used last."""
-        read = (item for item in reversed(self._parts.items()) if item[0] not in self._coming)
+        """Return the tokens of the most recently read or used parts."""
+        read = (
+            item for item in reversed(self._parts.items()) if item[0] not in self._pending_reads
+        )
         return dict(itertools.islice(read, count))
 
     def missing(self, prompt: Prompt) -> int:
@@ -116,14 +118,14 @@
         return 0
 
     def unread(self, prompt: Prompt) -> int:
-        """Return how many tokens of a prompt are not in memory yet: none of them can be fetched.
+        """Return how many tokens of a prompt are not in memory yet and cannot be fetched.
 
-        Parts on their way count as missing here. At the start of a process and in a burst, many
-        requests with one part come before it is read; an upstream that was told to fetch it would
-        find nothing and read it once more.
+        Parts with a pending read count as missing here. At the start of a process and in a burst,
+        many requests with the same part arrive before it is read; an upstream that was told to
+        fetch it would find nothing and read it again.
         """
         for position, (part, _) in enumerate(prompt.parts):
-            if part not in self._parts or part in self._coming:
+            if part not in self._parts or part in self._pending_reads:
                 return prompt.tokens_from(position)
         return 0
 
@@ -133,8 +135,8 @@
 
     def _drop(self, part: str) -> None:
         self._tokens -= self._parts.pop(part, 0)
-        self._coming.pop(part, None)
+        self._pending_reads.pop(part, None)
 
-    def _drop_beyond(self) -> None:
+    def _evict_over_capacity(self) -> None:
         while self._tokens > self._capacity and len(self._parts) > 1:
             self._drop(next(iter(self._parts)))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_return.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_return.py
@@ -4,7 +4,7 @@
 
 import random
 
-RETRY_SHARE = (0.10, 0.30)
+RETRY_AFTER_SHARE = (0.10, 0.30)
 """Part of the remaining patience after which a refused caller is told to come back. Callers wait at
 most a third of it; the spread keeps them from coming back together."""
 
@@ -13,11 +13,11 @@
 trouble has passed by then, and a caller told to wait longer would rather give up. A limit on the
 time itself would let all patient callers come back at the same moment."""
 
-REFER_S = (0.005, 0.05)
+REFERRAL_DELAY_S = (0.005, 0.05)
 """First and last time after which a caller is told to come back to another process, seconds: only a
 spread, as the other process can serve at once."""
 
-HEARD_S = 2.5
+PEER_STATUS_EXPIRY_S = 2.5
 """Age at which what another process said is dropped, seconds. It says something every second."""
 
 
@@ -30,19 +30,22 @@
     """
 
     def __init__(self):
-        self._heard: dict[str, tuple[bool, float]] = {}
+        self._statuses: dict[str, tuple[bool, float]] = {}
 
     def hear(self, peer: str, can_serve: bool, now: float) -> None:
         """Note what a process says."""
-        self._heard[peer] = (can_serve, now)
+        self._statuses[peer] = (can_serve, now)
 
     def forget(self, peer: str) -> None:
         """Note that a process is gone."""
-        self._heard.pop(peer, None)
+        self._statuses.pop(peer, None)
 
     def can_serve(self, now: float) -> bool:
         """Return whether at least one of them can serve."""
-        return any(able and now - at <= HEARD_S for able, at in self._heard.values())
+        return any(
+            can_serve_now and now - at <= PEER_STATUS_EXPIRY_S
+            for can_serve_now, at in self._statuses.values()
+        )
 
 
 def return_after_s(patience_s: float | None, is_referred: bool, rng: random.Random) -> float:
@@ -58,5 +61,5 @@
     """
     patience = MAX_PATIENCE_S if patience_s is None else min(max(0.0, patience_s), MAX_PATIENCE_S)
     if is_referred:
-        return min(patience, rng.uniform(*REFER_S))
-    return patience * rng.uniform(*RETRY_SHARE)
+        return min(patience, rng.uniform(*REFERRAL_DELAY_S))
+    return patience * rng.uniform(*RETRY_AFTER_SHARE)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_store_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_store_era.py
@@ -20,7 +20,7 @@
 
     def __init__(self):
         self._newest: int | None = None
-        self._returned_at = float("-inf")
+        self._restored_at = float("-inf")
 
     @property
     def newest(self) -> int:
@@ -30,7 +30,7 @@
     @property
     def returned_at(self) -> float:
         """When this process heard of the last return of the store."""
-        return self._returned_at
+        return self._restored_at
 
     def is_past(self, era: int) -> bool:
         """Return whether an era is over."""
@@ -47,8 +47,8 @@
         """
         if self._newest is not None and era <= self._newest:
             return False
-        has_returned = self._newest is not None
+        was_restored = self._newest is not None
         self._newest = era
-        if has_returned:
-            self._returned_at = now
-        return has_returned
+        if was_restored:
+            self._restored_at = now
+        return was_restored
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_suspects.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_suspects.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-KEEP_S = 60.0
+SUSPICION_EXPIRY_S = 60.0
 """How long a suspicion is kept after its newest crash, seconds."""
 
-CRASHES = 2
+MIN_CRASHES = 2
 """Upstreams that must have gone down under a request before it is refused. One is not enough: all
 that ran beside the culprit broke off too."""
 
-LINK_S = 3.0
+CRASH_DETECTION_S = 3.0
 """Longest time between the break of an answer and the sign that the upstream is down, seconds. The
 next connection to it usually tells within a second."""
 
@@ -25,12 +25,12 @@
     """
 
     def __init__(self):
-        self._broken: dict[str, list[tuple[float, str]]] = {}
+        self._interrupted: dict[str, list[tuple[float, str]]] = {}
         self._crashed: dict[str, tuple[float, frozenset[str]]] = {}
 
     def note_break(self, digest: str, incarnation: str, now: float) -> None:
         """Note that an upstream broke off a request."""
-        self._broken.setdefault(incarnation, []).append((now, digest))
+        self._interrupted.setdefault(incarnation, []).append((now, digest))
 
     def note_down(self, incarnation: str, now: float) -> list[str]:
         """Note that an upstream is down: it refuses connections, or its entry is gone.
@@ -40,8 +40,8 @@
         list of str
             Digests of the requests that broke off there a short time ago.
         """
-        broken = self._broken.pop(incarnation, [])
-        digests = [digest for at, digest in broken if now - at <= LINK_S]
+        broken = self._interrupted.pop(incarnation, [])
+        digests = [digest for at, digest in broken if now - at <= CRASH_DETECTION_S]
         for digest in digests:
             self.note_crash(digest, incarnation, now)
         return digests
@@ -58,12 +58,12 @@
     def is_refused(self, digest: str, now: float) -> bool:
         """Return whether a request must not be sent to one more upstream."""
         self._forget(now)
-        return self.crashes(digest) >= CRASHES
+        return self.crashes(digest) >= MIN_CRASHES
 
     def _forget(self, now: float) -> None:
-        old = [digest for digest, (at, _) in self._crashed.items() if at < now - KEEP_S]
+        old = [digest for digest, (at, _) in self._crashed.items() if at < now - SUSPICION_EXPIRY_S]
         for digest in old:
             del self._crashed[digest]
-        for incarnation, breaks in list(self._broken.items()):
-            if breaks[-1][0] < now - LINK_S:
-                del self._broken[incarnation]
+        for incarnation, breaks in list(self._interrupted.items()):
+            if breaks[-1][0] < now - CRASH_DETECTION_S:
+                del self._interrupted[incarnation]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstreams.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams that a forwarder knows, and what it has seen of each."""
+"""Upstreams of a forwarder: their listed entries and the observed state of each."""
 
 from __future__ import annotations
 
@@ -14,18 +14,19 @@
 from ._prompts import Prompt, PromptMemory
 from ._upstream_health import UpstreamHealth
 
-RETURN_WAIT_S = 2.2
-"""How long a vanished entry is kept after trouble of the list, seconds. The platform needs about
-two seconds to bring back the entries of live upstreams; 0.2 s for the way of the news."""
+RELIST_WAIT_S = 2.2
+"""Time for which an unlisted upstream is kept after the list could not be read, seconds. The
+platform needs about two seconds to restore the entries of live upstreams; 0.2 s is for the delay of
+the update."""
 
 
-ENDED_MEMORY_S = 60.0
-"""How long the last word of an upstream whose entry is gone is kept, seconds: far longer than the
-age of a copy from which a store comes back."""
+REMOVED_RETENTION_S = 60.0
+"""Time for which the last entry of a removed upstream is kept, seconds: far longer than the age of
+a copy that the store is restored from."""
 
-WITHHELD_S = 10.0
-"""How long an upstream that was gone and stands in the copy again gets no work, seconds: longer
-than the platform lists one that is silent. One that is listed still lives after all."""
+WITHHOLD_S = 10.0
+"""Time for which a removed upstream that is listed again by a restored store gets no work, seconds:
+longer than the platform lists one that sends nothing. One that is still listed then is alive."""
 
 
 @attrs.frozen
@@ -35,22 +36,22 @@
     Parameters
     ----------
     id : str
-        Stays the same when the upstream starts again.
+        Stays the same when the upstream restarts.
     service : str
     host, port
     failure_domain : str
     places : int
-        Requests that it runs at once.
+        Number of requests that it runs at once.
     leaving : bool
-        Whether it takes no new work.
+        Whether it is draining and accepts no new work.
     revision : int
-        Grows with each change of the entry, within one era.
+        Increases with each change of the entry, within one era.
     started_ms : int or None
-        When it started, Unix milliseconds; None if the entry does not say.
+        Start time in Unix milliseconds; None if the entry has none.
     era : int
-        Of the store that holds the entry.
+        Era of the store that holds the entry.
     sequence : int
-        Grows with each entry that the upstream writes while it runs, across eras.
+        Increases with each entry that the upstream writes while it runs, across eras.
     """
 
     id: str
@@ -67,25 +68,25 @@
 
     @property
     def position(self) -> Position:
-        """Where the entry stands in the history of the store."""
+        """Position of the entry in the history of the store."""
         return Position(self.era, self.revision)
 
     @property
     def incarnation(self) -> str:
-        """Names one run of the process: another one knows nothing of the requests of this one."""
+        """Name of one run of the process; another run has no state of the requests of this one."""
         return self.id if self.started_ms is None else f"{self.id}@{self.started_ms}"
 
 
 @attrs.frozen
 class UnreadableEntry:
-    """An entry of the list that cannot be read, as another writer may leave one.
+    """An entry of the list that cannot be decoded, for example one written by another program.
 
     Parameters
     ----------
     id : str
     revision : int
     era : int
-        Of the store that holds the entry.
+        Era of the store that holds the entry.
     """
 
     id: str
@@ -94,26 +95,26 @@
 
     @property
     def position(self) -> Position:
-        """Where the entry stands in the history of the store."""
+        """Position of the entry in the history of the store."""
         return Position(self.era, self.revision)
 
 
 @attrs.frozen
 class UpstreamChanges:
-    """A reading of the list.
+    """The result of reading the list once.
 
     Parameters
     ----------
     whole : bool
-        Whether ``listed`` is the whole list; otherwise it holds what changed.
+        Whether ``listed`` is the complete list; otherwise it holds the changed entries.
     listed : tuple of ListedUpstream
     removed : tuple of str
-        Ids whose entries are gone.
+        Ids whose entries were deleted.
     unreadable : tuple of UnreadableEntry
     troubled_at : float
-        When the platform last left a question for the list unanswered, at whichever process.
+        Time of the last request for the list that the platform did not answer, at any process.
     after_return : bool
-        Whether this is the first reading since the store came back from a copy.
+        Whether this is the first reading since the store was restored from a copy.
     """
 
     whole: bool
@@ -125,7 +126,7 @@
 
 
 class Upstream:
-    """What this process knows of one upstream.
+    """State of one upstream as observed by this process.
 
     Parameters
     ----------
@@ -144,17 +145,17 @@
         self.writing = SpeedFactor()
         self.gone = False
         self.ended = False
-        self._run_enders: set[Callable[[], None]] = set()
+        self._run_cancellers: set[Callable[[], None]] = set()
         self.health = UpstreamHealth(spread)
 
     @property
     def id(self) -> str:
-        """Id, which it keeps when it starts again."""
+        """Id, which stays the same when the upstream restarts."""
         return self.entry.id
 
     @property
     def incarnation(self) -> str:
-        """Names the run of its process that this is known of."""
+        """Name of the run of the upstream's process that this state belongs to."""
         return self.entry.incarnation
 
     @property
@@ -164,59 +165,60 @@
         return f"{host}:{self.entry.port}"
 
     def share(self) -> LoadShare:
-        """Return what this process has there."""
+        """Return the load that this process has at the upstream."""
         return LoadShare(self.pending.own_tokens, self.outstanding)
 
     def running(self, now: float) -> int:
-        """Return the requests that all processes have there."""
+        """Return the number of requests that all processes have at the upstream."""
         return self.outstanding + self.pending.running_elsewhere(now)
 
     def has_place(self, now: float) -> bool:
-        """Return whether it runs fewer requests than it can at once."""
+        """Return whether the upstream runs fewer requests than it can run at once."""
         return self.running(now) < self.entry.places
 
     def note_sent(self, prompt: Prompt) -> None:
-        """Note that a prompt was sent there."""
+        """Record that a prompt was sent to the upstream."""
         for part, tokens in prompt.parts:
-            self.memory.note_coming(part, tokens)
+            self.memory.record_pending_read(part, tokens)
 
     def note_abandoned(self, prompt: Prompt) -> None:
-        """Note that a request ended there before its first token."""
+        """Record that a request ended at the upstream before its first token."""
         for part, _ in prompt.parts:
             self.memory.note_abandoned(part)
 
     def note_prompt(self, prompt: Prompt) -> None:
-        """Note that a prompt was read there, for this process and to be told to the others."""
+        """Record that a prompt was read at the upstream, and queue its parts for peers."""
         for part, tokens in prompt.parts:
             self.memory.note(part, tokens)
             self.untold_parts[part] = tokens
 
     def take_untold_parts(self) -> dict[str, int]:
-        """Return the parts that the other processes were not told of, and take them as told."""
-        untold, self.untold_parts = self.untold_parts, {}
-        return untold
+        """Return and clear the parts that have not been sent to peers yet."""
+        unsent, self.untold_parts = self.untold_parts, {}
+        return unsent
 
     def takes_work(self) -> bool:
-        """Return whether the list says that new requests may be sent."""
+        """Return whether new requests may be sent according to the list."""
         return not (self.gone or self.entry.leaving)
 
     def add_run(self, end: Callable[[], None]) -> None:
-        """Note a request that was sent, and how it is ended if the upstream starts again."""
-        self._run_enders.add(end)
+        """Record a running request, with a callback that ends it if the upstream restarts."""
+        self._run_cancellers.add(end)
 
     def remove_run(self, end: Callable[[], None]) -> None:
-        """Note that a request is over."""
-        self._run_enders.discard(end)
+        """Remove the callback of a request that has ended."""
+        self._run_cancellers.discard(end)
 
-    def note_ended(self) -> None:
-        """Note that this run of its process is over: a later one has taken its place.
+    def record_ended(self) -> None:
+        """Record that this run of the process is over because a later one has replaced it.
 
-        The connections of its requests may stay silent, as behind a cut link. Their callers would
-        wait for the kernel to give up, seconds later, for answers that cannot come any more.
+        The connections of its requests may stay open without sending anything, as behind a broken
+        link. Without the callbacks, callers would wait until the kernel gives up, seconds later,
+        for answers that cannot arrive any more.
         """
         self.gone = True
         self.ended = True
-        enders, self._run_enders = self._run_enders, set()
+        enders, self._run_cancellers = self._run_cancellers, set()
         for end in enders:
             end()
 
@@ -224,19 +226,19 @@
 class UpstreamBook:
     """All upstreams, by service.
 
-    Entries may vanish from the list while the platform's store is in trouble although their
-    upstreams live. Dropping them then would take a whole service out of use. A vanished entry
-    therefore counts at once only while the list has been read without trouble for a while.
+    Entries may vanish from the list while the platform's store fails although their upstreams are
+    alive. Dropping these upstreams would make a whole service unavailable. So an upstream that is
+    no longer listed is dropped at once only if the list has been read without failures for a while.
 
     Parameters
     ----------
     rng : random.Random or None
-        Spreads over the processes when each tries an upstream again after failures.
+        Spreads the times at which the processes retry an upstream after failures.
 
     Attributes
     ----------
     processes : int
-        How many processes send to these upstreams.
+        Number of processes that send to these upstreams.
     """
 
     def __init__(self, rng: random.Random | None = None):
@@ -244,11 +246,11 @@
         self.processes = 1
         self._upstreams: dict[str, Upstream] = {}
         self._by_service: dict[str, list[Upstream]] = {}
-        self._vanished: dict[str, None] = {}
-        self._ended: dict[str, _KeptEntry] = {}
-        self._withheld: dict[str, _KeptEntry] = {}
-        self._steady_at = float("-inf")
-        self._memories: Mapping[str, int] = {}
+        self._unlisted: dict[str, None] = {}
+        self._removed_entries: dict[str, _RetainedEntry] = {}
+        self._withheld: dict[str, _RetainedEntry] = {}
+        self._list_trusted_at = float("-inf")
+        self._capacities: Mapping[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._upstreams)
@@ -258,13 +260,13 @@
 
     @property
     def withheld(self) -> Collection[str]:
-        """Ids of upstreams that are listed again after they were gone, and get no work yet."""
+        """Ids of removed upstreams that are listed again and get no work yet."""
         return self._withheld.keys()
 
     @property
     def missing(self) -> Collection[str]:
-        """Ids of upstreams that are used although the list lacks them."""
-        return self._vanished.keys()
+        """Ids of upstreams that are used although they are not listed."""
+        return self._unlisted.keys()
 
     def all(self) -> Collection[Upstream]:
         """Return all upstreams."""
@@ -275,46 +277,46 @@
         return any(upstream.outstanding for upstream in self._upstreams.values())
 
     def find(self, incarnation: str) -> Upstream | None:
-        """Return the upstream whose present run has a name, None if that run is not known."""
+        """Return the upstream whose present incarnation is the given one, None if there is none."""
         found = self._upstreams.get(incarnation)
         if found is None:
             found = self._upstreams.get(incarnation.rpartition("@")[0])
         return found if found is not None and found.incarnation == incarnation else None
 
     def of_service(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a service, also those that take no work."""
+        """Return the upstreams of a service, including those that accept no work."""
         return self._by_service.get(service, [])
 
     def set_memories(self, memories: Mapping[str, int]) -> None:
-        """Take over how many tokens the upstreams of each service keep in memory.
+        """Set how many tokens the upstreams of each service keep in memory.
 
-        Without it all were taken to keep 250,000. Where they keep more, parts that are there seem
-        to be gone, and are read again or fetched elsewhere; where they keep less, the reverse.
+        The default for all is 250,000. If upstreams keep more, parts that are cached are considered
+        evicted, and are read again or fetched elsewhere; if they keep less, the reverse.
         """
-        self._memories = memories
+        self._capacities = memories
         for upstream in self._upstreams.values():
-            self._size_memory(upstream)
+            self._set_memory_capacity(upstream)
 
     def note_trouble(self, now: float) -> None:
-        """Note that the list could not be read."""
-        self._steady_at = max(self._steady_at, now + RETURN_WAIT_S)
+        """Record that the list could not be read."""
+        self._list_trusted_at = max(self._list_trusted_at, now + RELIST_WAIT_S)
 
     def apply(self, changes: UpstreamChanges, now: float) -> list[str]:
-        """Take over a reading of the list.
+        """Apply the result of reading the list.
 
         Returns
         -------
         list of str
-            Incarnations that are over: their entries are gone, or they started again.
+            Incarnations that have ended: their entries were deleted, or they restarted.
         """
         self.note_trouble(changes.troubled_at)
         over = [self._upstreams[id_].incarnation for id_ in changes.removed if id_ in self]
         for unreadable in changes.unreadable:
-            self._hold_back(unreadable)
+            self._mark_leaving(unreadable)
         for entry in changes.listed:
-            replaced = self._list(entry, now)
+            replaced = self._apply_entry(entry, now)
             if replaced is not None:
-                replaced.note_ended()
+                replaced.record_ended()
                 over.append(replaced.incarnation)
         removed: Iterable[str] = changes.removed
         if changes.whole:
@@ -324,43 +326,48 @@
         for id_ in removed:
             self._withheld.pop(id_, None)
             if id_ in self._upstreams:
-                self._vanished[id_] = None
+                self._unlisted[id_] = None
         self.settle(now)
         return over
 
     def settle(self, now: float) -> None:
-        """Drop vanished entries once the list can be trusted, and release withheld ones."""
+        """Drop unlisted upstreams once the list can be trusted, and release withheld ones."""
         self._release(now)
-        if now < self._steady_at:
+        if now < self._list_trusted_at:
             return
-        for id_ in self._vanished:
+        for id_ in self._unlisted:
             upstream = self._upstreams.pop(id_, None)
             if upstream is not None:
                 upstream.gone = True
                 self._by_service[upstream.entry.service].remove(upstream)
-                self._note_last_word(upstream, now)
-        self._vanished.clear()
-
-    def _note_last_word(self, upstream: Upstream, now: float) -> None:
-        """Keep the last word of an upstream, which a store that comes back may show again."""
-        self._ended = {id_: kept for id_, kept in self._ended.items() if now < kept.until}
-        self._ended[upstream.id] = _KeptEntry(upstream.entry, now + ENDED_MEMORY_S)
+                self._retain_removed(upstream, now)
+        self._unlisted.clear()
+
+    def _retain_removed(self, upstream: Upstream, now: float) -> None:
+        """Keep the last entry of a removed upstream, which a restored store may list again."""
+        self._removed_entries = {
+            id_: kept for id_, kept in self._removed_entries.items() if now < kept.until
+        }
+        self._removed_entries[upstream.id] = _RetainedEntry(
+            upstream.entry, now + REMOVED_RETENTION_S
+        )
 
     def _release(self, now: float) -> None:
-        """Give work to upstreams that the platform has gone on to list."""
+        """Add the withheld upstreams that the platform still lists after the waiting time."""
         for kept in [kept for kept in self._withheld.values() if now >= kept.until]:
             del self._withheld[kept.entry.id]
             self._add(kept.entry)
 
     def drop(self, upstream: Upstream) -> None:
-        """Forget an upstream whose address answered under another id."""
+        """Mark an upstream as removed because its address answered under another id."""
         upstream.gone = True
-        upstream.health.note_replaced()
+        upstream.health.record_replaced()
 
-    def _hold_back(self, unreadable: UnreadableEntry) -> None:
+    def _mark_leaving(self, unreadable: UnreadableEntry) -> None:
         """Send no new work to an upstream whose entry cannot be read any more.
 
-        What is known of it may be wrong by now. Its requests go on, as they do where one leaves.
+        Its last known entry may be outdated. Its running requests continue, as they do at a
+        draining upstream.
         """
         known = self._upstreams.get(unreadable.id)
         if known is not None and unreadable.position >= known.entry.position:
@@ -368,34 +375,34 @@
                 known.entry, leaving=True, revision=unreadable.revision, era=unreadable.era
             )
 
-    def _list(self, entry: ListedUpstream, now: float) -> Upstream | None:
-        """Take over an entry; return the incarnation that it replaces, None if it replaces none."""
+    def _apply_entry(self, entry: ListedUpstream, now: float) -> Upstream | None:
+        """Apply an entry; return the incarnation that it replaces, None if it replaces none."""
         known = self._upstreams.get(entry.id)
         if known is None:
-            if self._is_word_of_ended(entry):
-                self._withheld.setdefault(entry.id, _KeptEntry(entry, now + WITHHELD_S))
+            if self._is_stale_copy(entry):
+                self._withheld.setdefault(entry.id, _RetainedEntry(entry, now + WITHHOLD_S))
                 return None
             self._withheld.pop(entry.id, None)
             self._add(entry)
             return None
         order = _compare_starts(entry.started_ms, known.entry.started_ms)
         if order < 0:
-            # News of a former incarnation that comes late says nothing of the present one.
+            # A late update of a former incarnation does not apply to the present one.
             return None
-        self._vanished.pop(entry.id, None)
+        self._unlisted.pop(entry.id, None)
         if order > 0:
             self._by_service[known.entry.service].remove(known)
             self._add(entry)
             return known
-        if _is_newer_word(entry, known.entry):
+        if _is_newer_entry(entry, known.entry):
             self._by_service[known.entry.service].remove(known)
             known.entry = attrs.evolve(entry, started_ms=known.entry.started_ms)
             self._by_service.setdefault(entry.service, []).append(known)
         return None
 
-    def _is_word_of_ended(self, entry: ListedUpstream) -> bool:
-        """Return whether an entry is what a copy holds of an upstream that is gone."""
-        kept = self._ended.get(entry.id)
+    def _is_stale_copy(self, entry: ListedUpstream) -> bool:
+        """Return whether an entry is the one of a removed upstream, listed by a restored store."""
+        kept = self._removed_entries.get(entry.id)
         if kept is None or entry.era <= kept.entry.era:
             return False
         order = _compare_starts(entry.started_ms, kept.entry.started_ms)
@@ -404,29 +411,29 @@
     def _add(self, entry: ListedUpstream) -> None:
         spread = self.rng.random() if self.rng is not None else 0.0
         added = self._upstreams[entry.id] = Upstream(entry, spread)
-        self._size_memory(added)
+        self._set_memory_capacity(added)
         self._by_service.setdefault(entry.service, []).append(added)
 
-    def _size_memory(self, upstream: Upstream) -> None:
-        tokens = self._memories.get(upstream.entry.service)
+    def _set_memory_capacity(self, upstream: Upstream) -> None:
+        tokens = self._capacities.get(upstream.entry.service)
         if tokens is not None:
             upstream.memory.set_capacity(tokens)
 
 
 @attrs.frozen
-class _KeptEntry:
-    """An entry, and until when it is kept."""
+class _RetainedEntry:
+    """An entry, and the time until which it is kept."""
 
     entry: ListedUpstream
     until: float
 
 
-def _is_newer_word(entry: ListedUpstream, known: ListedUpstream) -> bool:
-    """Return whether an entry of the known incarnation says more than the known one.
+def _is_newer_entry(entry: ListedUpstream, known: ListedUpstream) -> bool:
+    """Return whether an entry of the same incarnation is newer than the known one.
 
-    Within one era the revisions tell. A store that came back from a copy first shows what the
-    upstream said some time before. The upstream's own count tells that from what it writes since;
-    with the same count an upstream that is known to leave stays so.
+    Within one era, revisions decide. A store that was restored from a copy first shows an old entry
+    of the upstream. The upstream's own sequence number distinguishes it from the entries that it
+    has written since; if the numbers are equal, an upstream that is known to be draining stays so.
     """
     if entry.era == known.era:
         return entry.revision >= known.revision
@@ -438,9 +445,10 @@
 def _compare_starts(listed_ms: int | None, known_ms: int | None) -> int:
     """Return 1 if an entry is of a later incarnation than the known one, 0 of the same, -1 before.
 
-    An entry without a start goes on with the known incarnation. One that says it for the first time
-    cannot be shown to be of the same incarnation, so that it begins a new one: to forget what is
-    known of a warm upstream costs little, to go on with what a former one held misleads.
+    An entry without a start time belongs to the known incarnation. One that has a start time for
+    the first time cannot be shown to belong to the same incarnation, so it begins a new one:
+    discarding the state of an upstream with cached parts costs little, while keeping that of a
+    former incarnation is misleading.
     """
     if listed_ms is None or listed_ms == known_ms:
         return 0
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_urgency.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_urgency.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-LEVELS = 10
+URGENCY_LEVELS = 10
 """Urgencies that an upstream tells apart; 0 is the first."""
 
 SHORT_SHARE = 0.1
@@ -37,7 +37,7 @@
         # rank then does not move the others while processes change over one by one, unless it takes
         # a second level from them.
         count = max(ranks, default=0) + 1
-        self._pairs = max(0, min(count, LEVELS - count))
+        self._ranks_with_two_levels = max(0, min(count, URGENCY_LEVELS - count))
 
     def level(self, rank: int, is_short: bool) -> int:
         """Return the level of a request.
@@ -48,5 +48,9 @@
         is_short : bool
             Whether its prompt is read in a short time; false for requests without a prompt.
         """
-        level = 2 * rank + (not is_short) if rank < self._pairs else rank + self._pairs
-        return min(max(level, 0), LEVELS - 1)
+        level = (
+            2 * rank + (not is_short)
+            if rank < self._ranks_with_two_levels
+            else rank + self._ranks_with_two_levels
+        )
+        return min(max(level, 0), URGENCY_LEVELS - 1)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_waiting.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_waiting.py
@@ -1,4 +1,4 @@
-"""How prompts wait for an upstream, and when one is refused instead."""
+"""Queue of prompts that wait for an upstream, and their expiry."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 from ._placing import Demand, Placement, PlacementRound
 from ._upstreams import Upstream
 
-WINDOW_SHARE = 0.6
-"""Part of the tightest target of a service that unread prompts may take at an upstream before less
-urgent work waits here. An urgent request that comes next then still meets its target, and what
-waits here can go to whichever upstream is free first."""
+BACKLOG_WINDOW_SHARE = 0.6
+"""Share of the tightest target of a service that the unread prompts of an upstream may take before
+less urgent requests wait here. An urgent request that arrives next still meets its target, and a
+waiting request can go to whichever upstream is free first."""
 
-URGENT_SHARE = 0.8
-"""The same part for the most urgent work, of its own target."""
+URGENT_BACKLOG_SHARE = 0.8
+"""The same share for the most urgent requests, of the time left to their own target."""
 
-LATE_SHARE = 0.15
-"""Part of the window up to which work that has missed its target is started: where an upstream
-reads next to nothing. With more, late work alone keeps upstreams reading all the time, and the
-answers beside it are written too slowly to end in time."""
+LATE_BACKLOG_SHARE = 0.15
+"""Share of the window up to which requests that have missed their target are started: only where an
+upstream has almost nothing to read. With a larger share, late requests alone keep upstreams reading
+all the time, and the answers generated meanwhile are too slow to end in time."""
 
-MARGIN = 0.9
-"""Part of a target that a prediction must keep to count as in time."""
+TARGET_MARGIN = 0.9
+"""Factor on predicted times before they are compared with a target: a request counts as late only
+if this share of the prediction exceeds the time left."""
 
-MAX_LOOKED_AT = 60
-"""Waiting requests that one round looks at, a bound on its processor time."""
+MAX_CANDIDATES_PER_ROUND = 60
+"""Waiting requests that one round evaluates at most, which bounds its processor time."""
 
 
 @attrs.define(eq=False)
@@ -45,15 +46,15 @@
     urgency : int
         Priority; 0 is the most urgent.
     target_at : float
-        When the first token is due.
+        Time at which the first token is due.
     give_up_at : float
-        When it is refused if it has not started.
+        Time at which it is rejected if it has not started.
     tried : collection of str
-        Upstreams it was sent to before.
+        Ids of the upstreams that it has been sent to already.
     owner : object
-        Whatever the caller of the queue wants to find it by.
+        Reference for the caller of the queue, not used here.
     rank : int
-        Place in the order of all requests, 0 is the first; the priority if not given.
+        Rank among all requests, 0 is the first; default is ``urgency``.
     """
 
     demand: Demand
@@ -78,27 +79,27 @@
     waiting : WaitingPrompt
     placement : Placement
     late : bool
-        Whether its target cannot be met any more.
-    late_behind : bool
-        Whether its target cannot be met behind what is read ahead of it.
+        Whether its target cannot be met even without a backlog.
+    late_with_backlog : bool
+        Whether its target cannot be met behind the backlog of the upstream.
     """
 
     waiting: WaitingPrompt
     placement: Placement
     late: bool
-    late_behind: bool = False
+    late_with_backlog: bool = False
 
 
 class PromptQueue:
     """Requests of one service that wait for an upstream.
 
-    Upstreams read the prompts that they have in the order they came, and a long prompt delays every
-    first token behind it. Under a burst of long prompts, sending all at once makes all late, the
-    short urgent ones first of all. So less urgent requests wait here while an upstream has much to
-    read. Requests that have missed their target go last: serving them first would make the next
-    ones late as well, and none would ever be in time until the burst is over. Among equals, those
-    whose shared part is in memory go first: after the loss of an upstream the parts it had must be
-    read anew, and each such prompt takes the time of several others.
+    Upstreams read their prompts in order of arrival, and a long prompt delays the first token of
+    every prompt behind it. If a burst of long prompts were sent at once, all requests would be
+    late, the short urgent ones first of all. So less urgent requests wait here while an upstream
+    has a large backlog. Requests that have missed their target go last: if they were served first,
+    the next ones would be late as well, and none would be in time until the end of the burst. Among
+    equal requests, those whose shared part is cached go first: after an upstream is removed, its
+    parts must be read again, and each such prompt takes the time of several others.
     """
 
     def __init__(self):
@@ -108,21 +109,21 @@
         return len(self._waiting)
 
     def add(self, waiting: WaitingPrompt) -> None:
-        """Let a request wait."""
+        """Add a waiting request."""
         self._waiting.append(waiting)
 
     def remove(self, waiting: WaitingPrompt) -> None:
-        """Take a request out, whether or not it still waits."""
+        """Remove a request; do nothing if it is not in the queue."""
         if waiting in self._waiting:
             self._waiting.remove(waiting)
 
     def take_all(self) -> list[WaitingPrompt]:
-        """Take out every request."""
+        """Remove and return all requests."""
         taken, self._waiting = self._waiting, []
         return taken
 
     def take_expired(self, now: float) -> list[WaitingPrompt]:
-        """Take out the requests that are to be refused now."""
+        """Remove and return the requests whose waiting time is over; the caller rejects them."""
         expired = [item for item in self._waiting if now >= item.give_up_at]
         for item in expired:
             self._waiting.remove(item)
@@ -135,14 +136,14 @@
         targets: ServiceTargets,
         now: float,
     ) -> Start | None:
-        """Take out the first request that may start, None if none may.
+        """Remove and return the first request that may start, None if there is none.
 
         Parameters
         ----------
         upstreams : sequence of Upstream
         model : EngineModel
         targets : ServiceTargets
-            Of the routes to the service.
+            Targets of the routes to the service.
         now : float
         """
         return next(self.take_starts(upstreams, model, targets, now), None)
@@ -154,26 +155,28 @@
         targets: ServiceTargets,
         now: float,
     ) -> Iterator[Start]:
-        """Take out one request after the other that may start.
+        """Remove and yield the requests that may start, one after the other.
 
-        Each is to be noted at its upstream before the next is asked for; see :meth:`take_start`.
+        Each must be recorded at its upstream before the next one is requested; see
+        :meth:`take_start`.
 
         Notes
         -----
-        Every request is placed once, and again only if something started meanwhile where it would
-        go: to place all of them again after each start takes most of a small process.
+        Every request is placed once, and again only if another request has started at its upstream
+        since: placing all of them again after each start takes most of the processor time of a
+        small process.
         """
-        looked_at = heapq.nsmallest(MAX_LOOKED_AT, self._waiting, key=_order)
-        candidates = _Candidates(PlacementRound(upstreams, model, now), looked_at)
+        considered = heapq.nsmallest(MAX_CANDIDATES_PER_ROUND, self._waiting, key=_queue_order)
+        candidates = _Candidates(PlacementRound(upstreams, model, now), considered)
         while (start := candidates.pop()) is not None:
             if _may_start(start, model.switches, targets, now):
-                candidates.note_started(start)
+                candidates.record_started(start)
                 self._waiting.remove(start.waiting)
                 yield start
 
 
 class _Candidates:
-    """Waiting requests by rank, placed anew only where something started meanwhile.
+    """Waiting requests by rank, placed again only if another request started at their upstream.
 
     Parameters
     ----------
@@ -183,14 +186,14 @@
 
     def __init__(self, round_: PlacementRound, waiting: Iterable[WaitingPrompt]):
         self._round = round_
-        self._by_warmth = round_.model.switches.uses(Mechanism.WARM_FIRST)
+        self._cached_first = round_.model.switches.uses(Mechanism.WARM_FIRST)
         self._started: Counter[str] = Counter()
         self._heap: list[tuple[tuple, int, int, Start]] = []
         for number, item in enumerate(waiting):
             self._push(number, item)
 
     def pop(self) -> Start | None:
-        """Take out the first one, None if there is none left."""
+        """Remove and return the first candidate, None if there is none left."""
         while self._heap:
             _, number, started_before, start = heapq.heappop(self._heap)
             if started_before == self._started[start.placement.upstream.id]:
@@ -198,8 +201,8 @@
             self._push(number, start.waiting)
         return None
 
-    def note_started(self, start: Start) -> None:
-        """Note that a request starts: those that would go there too are placed anew."""
+    def record_started(self, start: Start) -> None:
+        """Record that a request starts: candidates for the same upstream are placed again."""
         self._started[start.placement.upstream.id] += 1
 
     def _push(self, number: int, item: WaitingPrompt) -> None:
@@ -209,15 +212,16 @@
             heapq.heappush(self._heap, (self._rank(start), number, started, start))
 
     def _rank(self, start: Start) -> tuple[bool, bool, int, bool, float]:
-        """Rank what can be in time first, then by urgency, then by what is soon read.
+        """Return the sort key: what can be in time first, then by urgency, then cached prompts.
 
-        Without regard to the reading ahead, engines read prompts in a burst that are late all the
-        same, and others that could be in time are refused meanwhile. What is late for that reading
-        alone still starts when nothing else wants the place, or places stay empty after a burst.
+        If the backlog were ignored, engines would read prompts in a burst that are late all the
+        same, while others that could be in time are rejected. A request that is late only because
+        of the backlog still starts when no other wants the place; otherwise places would stay empty
+        after a burst.
         """
         waiting = start.waiting
-        is_cold = self._by_warmth and not start.placement.is_warm
-        return (start.late, start.late_behind, waiting.rank, is_cold, waiting.target_at)
+        is_uncached = self._cached_first and not start.placement.is_warm
+        return (start.late, start.late_with_backlog, waiting.rank, is_uncached, waiting.target_at)
 
 
 def _evaluate(item: WaitingPrompt, round_: PlacementRound) -> Start | None:
@@ -227,35 +231,35 @@
     if placement is None:
         return None
     soonest_s = model.first_token_s(placement.upstream, placement.tokens, now, placement.is_short)
-    late = now + MARGIN * soonest_s > item.target_at
-    late_behind = now + MARGIN * placement.first_token_s > item.target_at
+    late = now + TARGET_MARGIN * soonest_s > item.target_at
+    late_with_backlog = now + TARGET_MARGIN * placement.first_token_s > item.target_at
     late_last = model.switches.uses(Mechanism.LATE_LAST)
-    return Start(item, placement, late and late_last, late_behind and late_last)
+    return Start(item, placement, late and late_last, late_with_backlog and late_last)
 
 
-def _order(item: WaitingPrompt) -> tuple[int, float]:
+def _queue_order(item: WaitingPrompt) -> tuple[int, float]:
     return (item.rank, item.target_at)
 
 
 def _may_start(start: Start, switches: Switches, targets: ServiceTargets, now: float) -> bool:
     """Return whether a request starts now at its placement.
 
-    A short prompt overtakes the long ones at the upstream, so that it waits here only for a place.
+    A short prompt overtakes the long ones at the upstream, so it waits here only for a free place.
     """
     if not switches.uses(Mechanism.WINDOW):
         return True
     placement = start.placement
     if placement.is_short and placement.upstream.has_place(now):
         return True
-    return placement.backlog_s <= _window(start, targets, now)
+    return placement.backlog_s <= _backlog_limit_s(start, targets, now)
 
 
-def _window(start: Start, targets: ServiceTargets, now: float) -> float:
-    """Return the longest reading of other prompts behind which a request is started, seconds."""
+def _backlog_limit_s(start: Start, targets: ServiceTargets, now: float) -> float:
+    """Return the longest backlog of an upstream at which a request starts there, seconds."""
     waiting = start.waiting
-    window_s = WINDOW_SHARE * targets.tightest_s
+    window_s = BACKLOG_WINDOW_SHARE * targets.tightest_s
     if start.late:
-        return LATE_SHARE * window_s
+        return LATE_BACKLOG_SHARE * window_s
     if waiting.urgency <= targets.most_urgent:
-        return max(URGENT_SHARE * (waiting.target_at - now), window_s)
+        return max(URGENT_BACKLOG_SHARE * (waiting.target_at - now), window_s)
     return window_s
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_pace.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_pace.py
@@ -5,8 +5,8 @@
 from burdockquay_coordination.forwarding import (
     Demand,
     EngineModel,
-    PaceGuard,
     Prompt,
+    SteadyReservation,
     Switches,
     place_prompt,
 )
@@ -51,7 +51,7 @@
     Two in five of the most urgent streams had a pause that their callers do not bear, wherever they
     ran.
     """
-    guard = PaceGuard()
+    guard = SteadyReservation()
     burst(guard)
     apart = guard.choose(upstreams)
     assert len(apart) == 2
@@ -61,13 +61,13 @@
 
 
 def test_nothing_is_set_apart_while_all_are_written_steadily(upstreams):
-    guard = PaceGuard()
+    guard = SteadyReservation()
     burst(guard, longest_s=QUICK_S)
     assert guard.choose(upstreams) == frozenset()
 
 
 def test_upstreams_go_back_when_the_burst_is_over(upstreams):
-    guard = PaceGuard()
+    guard = SteadyReservation()
     burst(guard)
     assert guard.active
     burst(guard, 100, QUICK_S)
@@ -75,7 +75,7 @@
 
 
 def test_every_process_sets_the_same_upstreams_apart(upstreams):
-    first, second = PaceGuard(), PaceGuard()
+    first, second = SteadyReservation(), SteadyReservation()
     burst(first)
     burst(second, 90)
     assert first.choose(upstreams) == second.choose(list(reversed(upstreams)))
@@ -86,7 +86,7 @@
 
     Without a way out they would wait while other upstreams have places.
     """
-    guard = PaceGuard()
+    guard = SteadyReservation()
     burst(guard)
     apart = guard.choose(upstreams)
     for item in upstreams:
@@ -97,13 +97,13 @@
 
 
 def test_few_upstreams_are_not_parted(make_upstream):
-    guard = PaceGuard()
+    guard = SteadyReservation()
     burst(guard)
     assert guard.choose([make_upstream(name) for name in "abc"]) == frozenset()
 
 
 def test_mechanism_can_be_turned_off(upstreams):
-    guard = PaceGuard()
+    guard = SteadyReservation()
     burst(guard)
     apart = guard.choose(upstreams)
     placed = {place(upstreams, long(number), guard, ["set_apart"]) for number in range(60)}
@@ -116,7 +116,7 @@
     The other streams bear that and show few pauses, so that nothing was set apart, while a quarter
     of the steady streams were late by a single pause.
     """
-    guard = PaceGuard()
+    guard = SteadyReservation()
     for number in range(40):
         guard.note_demand(True, 1000, 150)
         guard.note_demand(False, 4000, 100)
@@ -129,6 +129,6 @@
 
 
 def test_single_late_steady_stream_sets_nothing_apart():
-    guard = PaceGuard()
+    guard = SteadyReservation()
     guard.note_pause(2 * LIMIT_S, LIMIT_S, True)
     assert not guard.active
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
@@ -8,12 +8,12 @@
 from burdockquay_coordination.forwarding import (
     Demand,
     EngineModel,
+    FirstTokenModel,
     LinearModel,
     LoadShare,
     Prompt,
     PromptMemory,
     PromptQueue,
-    ReadingLine,
     ServiceTargets,
     WaitingPrompt,
     _placing,
@@ -38,7 +38,7 @@
 @pytest.fixture
 def model():
     model = EngineModel()
-    model.first_token = ReadingLine(0.02, 1 / 50_000)
+    model.first_token = FirstTokenModel(0.02, 1 / 50_000)
     return model
 
 
@@ -434,7 +434,9 @@
         if starts == 5:
             break
     assert starts == 5
-    assert len(weighed) <= (20 + 5 * 20) * (_placing.HOMES_LOOKED_AT + _placing.HOLDERS_LOOKED_AT)
+    assert len(weighed) <= (20 + 5 * 20) * (
+        _placing.PREFERRED_CANDIDATES + _placing.HOLDER_CANDIDATES
+    )
     assert len(set(map(id, weighed))) > 1
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
@@ -11,9 +11,9 @@
     UpstreamChanges,
 )
 from burdockquay_coordination.forwarding._upstreams import (
-    ENDED_MEMORY_S,
-    RETURN_WAIT_S,
-    WITHHELD_S,
+    RELIST_WAIT_S,
+    REMOVED_RETENTION_S,
+    WITHHOLD_S,
 )
 
 RETURNED = 100.0
@@ -93,7 +93,7 @@
     assert takes_work(gone) == []
     assert list(gone.withheld) == ["a"]
     gone.apply(changed(removed=("a",)), RETURNED + 3)
-    gone.settle(RETURNED + WITHHELD_S)
+    gone.settle(RETURNED + WITHHOLD_S)
     assert takes_work(gone) == []
 
 
@@ -108,14 +108,14 @@
 def test_upstream_that_the_platform_goes_on_to_list_gets_work_after_a_while(gone):
     """It lives, and had no reason to write anything that its entry in the copy lacks."""
     gone.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    gone.settle(RETURNED + WITHHELD_S)
+    gone.settle(RETURNED + WITHHOLD_S)
     assert takes_work(gone) == ["a"]
 
 
 def test_upstream_that_was_gone_long_before_is_listed_at_once(gone):
     gone.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RETURNED)
     assert takes_work(gone) == ["a"], "in the same era the list says that it is back"
-    late = RETURNED + 2 * ENDED_MEMORY_S
+    late = RETURNED + 2 * REMOVED_RETENTION_S
     gone.apply(UpstreamChanges(False, removed=("a",)), late)
     assert len(gone) == 0
 
@@ -123,13 +123,13 @@
 def test_upstream_that_the_copy_lacks_is_kept_until_it_has_had_time_to_write(book):
     book.apply(returned(), RETURNED)
     assert takes_work(book) == ["a"] and list(book.missing) == ["a"]
-    book.settle(RETURNED + RETURN_WAIT_S)
+    book.settle(RETURNED + RELIST_WAIT_S)
     assert takes_work(book) == []
 
 
 def test_withheld_upstream_is_released_once(gone):
     gone.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    gone.settle(RETURNED + WITHHELD_S)
+    gone.settle(RETURNED + WITHHOLD_S)
     gone.apply(changed(attrs.evolve(entry(2, 90, 6, started_ms=2000))), RETURNED + 11)
     assert len(gone.of_service("s")) == 1
 
