--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_budget.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_budget.py
@@ -1,29 +1,30 @@
-"""A budget of retries that holds for all forwarders together without a message between them."""
+"""A retry budget that holds for all forwarders together without messages between them."""
 
 from __future__ import annotations
 
 from collections import deque
 
 BUCKET_S = 0.25
-"""Width of the buckets that requests are counted in, seconds; a fortieth of the usual window, so
+"""Width of the buckets in which requests are counted, seconds; a fortieth of the usual window, so
 that the window slides almost smoothly while a process keeps only some forty counts."""
 
 
 class RetryWindow:
-    """Sliding window of first sends and repeats to one service.
+    """Sliding window of first sends and retries to one service.
 
-    Each process repeats at most a share of the requests that it took itself. The shares of all
-    processes add up to the same share of all requests, so that the bound of the whole system holds
-    while no process knows of another. The allowance beyond the share is split by the number of
-    processes that may exist.
+    The retries of each process are limited to a share of the requests that it received itself.
+    Added up, the retries of all processes are within the same share of all requests, so that the
+    limit holds for the whole system although processes do not know each other. The allowance beyond
+    the share is divided by the number of processes that may exist.
 
     Parameters
     ----------
     ratio : float
-        Repeats for each request of the window.
+        Retries allowed for each request of the window.
     burst : float
-        Repeats of a window beyond the ratio, at this process.
+        Retries allowed in a window beyond the ratio, at this process.
     window_s : float
+        Length of the window, seconds.
     """
 
     def __init__(self, ratio: float, burst: float, window_s: float):
@@ -40,7 +41,7 @@
         self._requests += 1
 
     def try_repeat(self, now: float) -> bool:
-        """Count a repeat if the budget allows it, and return whether it does."""
+        """Count a retry if the budget allows it, and return whether it does."""
         bucket = self._bucket(now)
         if self._repeats + 1 > self.ratio * self._requests + self.burst:
             return False
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_choice.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_choice.py
@@ -79,10 +79,10 @@
     reached = usable
     if switches.uses(Mechanism.SUSPENSION):
         reached = [item for item in usable if not item.health.suspended(now)]
-    sound = reached
+    healthy = reached
     if switches.uses(Mechanism.FAILURE_SHARE):
-        sound = [item for item in reached if not item.health.is_grey(now)]
-    return sound or reached or usable
+        healthy = [item for item in reached if not item.health.is_grey(now)]
+    return healthy or reached or usable
 
 
 def rank_homes(candidates: Sequence[Upstream], part: str, count: int) -> list[Upstream]:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_directory.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_directory.py
@@ -35,18 +35,18 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether routes that are not anonymous demand a key."""
+        """Whether routes that are not anonymous require a key."""
         return self.config.organisations is not None
 
     def find_route(self, host: str, path: str) -> ForwardRoute | None:
-        """Return the route of a host whose prefix is the longest that begins the path.
+        """Return the route of a host with the longest prefix that matches the path.
 
         Parameters
         ----------
         host : str
             ``Host`` header, with or without a port.
         path : str
-            Path as the caller sent it, still percent-encoded, without a query.
+            Path as the caller sent it, percent-encoded, without a query.
         """
         name = host.rpartition(":")[0] if _has_port(host) else host
         name = name.lower()
@@ -58,16 +58,16 @@
         return None
 
     def targets(self, service: str) -> ServiceTargets:
-        """Return what the routes to a service demand."""
+        """Return the combined targets of the routes to a service."""
         return self._targets.get(service, ServiceTargets())
 
     def rank(self, route: ForwardRoute, organisation: CallerOrganisation | None) -> int:
-        """Return how urgent a request is among all to its service: 0 is the first.
+        """Return the urgency rank of a request among all to its service: 0 is the first.
 
-        Among prompts the priority of the route goes first, and that of the organisation decides
-        between requests to routes of the same one. With that of the organisation first, upstreams
-        that run out of memory preempt streams of urgent routes while long prompts of other routes
-        run on.
+        For prompts, the priority of the route decides first, and that of the organisation between
+        requests to routes of the same priority. If the organisation decided first, upstreams that
+        run out of memory would preempt streams of urgent routes while long prompts of other routes
+        continue.
         """
         priority = request_priority(route, organisation)
         if not route.by_prompt:
@@ -93,7 +93,7 @@
 
 
 def _highest_organisation_priority(config: ForwardConfig) -> int:
-    """Return the least urgent priority that an organisation names, 0 if none does."""
+    """Return the largest (least urgent) priority of an organisation, 0 if none has one."""
     named = (item.priority for item in config.organisations or ())
     return max((priority for priority in named if priority is not None), default=0)
 
@@ -103,7 +103,7 @@
 
 
 def pick_service(route: ForwardRoute, rng: random.Random) -> str:
-    """Return the service for one request, drawn by the weights of the route.
+    """Return the service for one request, sampled by the weights of the route.
 
     Examples
     --------
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_freshness.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_freshness.py
@@ -1,15 +1,15 @@
-"""How long a process may act on the configuration that it holds."""
+"""Limit on the age of the configuration that a process acts on."""
 
 from __future__ import annotations
 
 
 class FreshnessLease:
-    """Tells whether the configuration was the newest one a short time ago.
+    """Checks whether the configuration was the newest one a short time ago.
 
     A key that an operator withdraws must stop working everywhere within a fixed time, also at a
-    process that no longer reaches the platform. Such a process does not hear of the withdrawal; it
-    only knows how old its last confirmation is. Refusing when that is too old keeps the promise
-    without any message.
+    process that cannot reach the platform. Such a process does not receive the withdrawal; it only
+    knows the age of its last confirmation. Rejecting keys when that age exceeds the limit
+    guarantees the time without any message.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
         self._confirmed_at: float | None = None
 
     def confirm(self, as_of: float) -> None:
-        """Note that the configuration was the newest at a moment."""
+        """Record that the configuration was the newest one at the given time."""
         if self._confirmed_at is None or as_of > self._confirmed_at:
             self._confirmed_at = as_of
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_linear.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_linear.py
@@ -1,39 +1,39 @@
-"""A line through the newest samples, and how far one upstream is off it."""
+"""A linear model of the newest samples, and the deviation of one upstream from it."""
 
 from __future__ import annotations
 
 SAMPLE_DECAY = 0.98
-"""Weight that a sample keeps with each further one: the last fifty or so count."""
+"""Factor on the weight of a sample with each further one: about the last fifty count."""
 
 MAX_SAMPLE_RATIO = 4.0
-"""Largest ratio of a sample to its prediction that is learned from at once. A single request that
-met a crash or a full batch must not double the estimate of all."""
+"""Largest ratio of a sample to its prediction; larger samples are capped. A single request that was
+delayed by a crash or a full batch must not double the estimate for all."""
 
 SLOPE_RANGE = 50.0
-"""Largest ratio between the learned and the first slope, either way."""
+"""Largest ratio between the estimated and the initial slope, in both directions."""
 
 FACTOR_WEIGHT = 0.15
-"""Weight of the newest sample in the factor of one upstream."""
+"""Weight of the newest sample in the speed factor of one upstream."""
 
 FACTOR_RANGE = (0.5, 6.0)
-"""Smallest and largest factor of one upstream."""
+"""Smallest and largest speed factor of one upstream."""
 
 FACTOR_HALF_LIFE_S = 10.0
-"""Time in which the factor of an upstream without samples halves its distance to 1, seconds, so
-that one that was slow is tried again."""
+"""Half-life of the distance of a speed factor from 1 while there are no samples, seconds, so that
+an upstream that was slow is tried again."""
 
 
 class LinearModel:
-    """A time as a line over one figure, learned by weighted least squares.
+    """Linear model of a time over one variable, fitted by weighted least squares.
 
     Parameters
     ----------
     offset : float
-        First guess of the time where the figure is 0, seconds.
+        Initial value of the time where the variable is 0, seconds.
     slope : float
-        First guess of what each unit of the figure adds, seconds.
+        Initial value of the time that each unit of the variable adds, seconds.
     span : float
-        A usual figure, which says how much the first guess weighs.
+        A usual value of the variable, which determines the weight of the initial values.
 
     Examples
     --------
@@ -49,23 +49,23 @@
         self.slope = slope
         self.span = span
         self._bounds = (slope / SLOPE_RANGE, slope * SLOPE_RANGE)
-        # Weighted sums of 1, x, y, x*x, x*y; they begin with two made-up samples on the first line.
+        # Weighted sums of 1, x, y, x*x, x*y, with two artificial samples on the initial line.
         self._sums = [0.0] * 5
         for x in (0.0, span):
             self._add(x, self.predict(x))
 
     def predict(self, x: float) -> float:
-        """Return the time for a figure, seconds."""
+        """Return the time at ``x``, seconds."""
         return self.offset + x * self.slope
 
     def learn(self, x: float, seconds: float) -> None:
-        """Take in a sample."""
+        """Update the model with a sample."""
         seconds = min(seconds, MAX_SAMPLE_RATIO * self.predict(x))
         self._sums = [value * SAMPLE_DECAY for value in self._sums]
         self._add(x, seconds)
         count, sum_x, sum_y, sum_xx, sum_xy = self._sums
         spread = count * sum_xx - sum_x * sum_x
-        # Samples of one size only tell a point of the line, not its slope.
+        # Samples with the same x determine one point of the line, not its slope.
         if spread > 1e-6 * count * sum_xx:
             slope = (count * sum_xy - sum_x * sum_y) / spread
             self.slope = min(max(slope, self._bounds[0]), self._bounds[1])
@@ -77,18 +77,18 @@
 
 
 class SpeedFactor:
-    """How much slower one upstream is than the others of its service."""
+    """Ratio of the times of one upstream to those of the others of its service."""
 
     def __init__(self):
         self._factor = 1.0
         self._at = 0.0
 
     def value(self, now: float) -> float:
-        """Return the factor, which fades to 1 while nothing is heard."""
+        """Return the factor, which decays to 1 while there are no samples."""
         return 1 + (self._factor - 1) * 0.5 ** ((now - self._at) / FACTOR_HALF_LIFE_S)
 
     def learn(self, ratio: float, now: float) -> None:
-        """Take in the ratio of a time to what the common line predicts."""
+        """Update the factor with the ratio of a time to the prediction of the common model."""
         low, high = FACTOR_RANGE
         known = self.value(now)
         self._factor = known + FACTOR_WEIGHT * (min(max(ratio, low), high) - known)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_losses.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_losses.py
@@ -1,20 +1,20 @@
-"""How often the upstreams of a service go down, and whether copies of their memory pay."""
+"""Loss rate of the upstreams of a service, and whether copies of their memory are worthwhile."""
 
 from __future__ import annotations
 
 from collections import deque
 
 WINDOW_S = 5.0
-"""Time over which losses count, seconds: upstreams go down together or soon after each other, and
-the next calm minute says nothing of them."""
+"""Time for which losses count, seconds: upstreams fail at once or shortly after each other, and a
+period without failures after that says nothing of them."""
 
 COPY_COST_SHARE = 0.05
-"""Part of what a stream is worth that a copy of its memory costs: it takes memory at a second
-upstream and time on the links of both, which other prompts wait for."""
+"""Cost of a copy of a stream's memory, as a share of the value of the stream: the copy occupies
+memory at a second upstream and time on the links of both, which delays other prompts."""
 
 
 class LossRate:
-    """Counts the upstreams of one service that went down a short time ago.
+    """Counts the upstreams of one service that went down recently.
 
     Examples
     --------
@@ -30,20 +30,20 @@
         self._lost: deque[tuple[str, float]] = deque()
 
     def note(self, incarnation: str, now: float) -> None:
-        """Note that an upstream went down; each incarnation counts once."""
+        """Record that an upstream went down; each incarnation counts once."""
         self._forget(now)
         if all(known != incarnation for known, _ in self._lost):
             self._lost.append((incarnation, now))
 
     def copies_pay(self, answer_s: float, upstreams: int, now: float) -> bool:
-        """Return whether a stream is so likely to lose its upstream that it gets a copy.
+        """Return whether a stream is likely enough to lose its upstream to get a copy.
 
         Parameters
         ----------
         answer_s : float
             Predicted time of the answer, seconds.
         upstreams : int
-            Of the service.
+            Number of upstreams of the service.
         now : float
         """
         self._forget(now)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_mechanisms.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_mechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms that decide about prompts and upstreams, each of which can be turned off."""
+"""Switchable mechanisms of the decisions about prompts and upstreams."""
 
 from __future__ import annotations
 
@@ -9,52 +9,52 @@
 class Mechanism(enum.StrEnum):
     """One mechanism; the value is its name in the settings.
 
-    The forwarder serves without any of them. An operator turns one off that misbehaves under a load
-    it was not made for, and an experiment turns one off to measure what it is worth.
+    The forwarder can serve without any of them. An operator turns one off that performs badly under
+    a load that it was not designed for; an experiment turns one off to measure its effect.
     """
 
     HOMES = "homes"
-    """Shared prompt parts have a home, so that each is read at one upstream."""
+    """Each shared prompt part has a preferred upstream, so that it is read at one upstream."""
     SHORT_FIRST = "short_first"
     """Short prompts go before long ones of the same priority."""
     FETCHES = "fetches"
     """Upstreams fetch prompt parts from each other instead of reading them again."""
     COPIES = "copies"
-    """Streams that must not run twice have a copy of their memory where upstreams go down often."""
+    """Streams that must not run twice have a copy of their memory if upstreams go down often."""
     READ_HARM = "read_harm"
-    """Reading a part a second time counts by what runs where it would be read."""
+    """The cost of reading a part a second time grows with the running requests of the upstream."""
     WRITE_HARM = "write_harm"
-    """Any reading counts by the answers that are written beside it."""
+    """The cost of any reading grows with the running answers, which it slows down."""
     ANSWER_PACE = "answer_pace"
-    """Placement counts the time of the whole answer."""
+    """Placement includes the predicted time of the complete answer."""
     WINDOW = "window"
-    """Less urgent prompts wait while an upstream has much to read."""
+    """Less urgent prompts wait while an upstream has a large backlog."""
     LATE_LAST = "late_last"
-    """Requests that have missed their target go behind those that can meet it."""
+    """Requests that have missed their target go after those that can meet it."""
     WARM_FIRST = "warm_first"
-    """Among equals, prompts whose parts are in memory go first."""
+    """Among equal requests, prompts whose parts are cached go first."""
     SET_APART = "set_apart"
-    """Under load some upstreams take streams that must be written steadily and no long prompts."""
+    """Under load some upstreams are reserved for steady streams and read no long prompts."""
     SHARED_LOADS = "shared_loads"
-    """Processes tell each other what they have under way at upstreams."""
+    """Processes send each other their loads at upstreams."""
     SHARED_PARTS = "shared_parts"
-    """Processes tell each other which prompt parts they sent where."""
+    """Processes send each other which prompt parts they sent to which upstream."""
     SHARED_OUTCOMES = "shared_outcomes"
-    """Processes tell each other which upstreams fail."""
+    """Processes send each other the outcomes of requests at upstreams."""
     SPEED_FACTORS = "speed_factors"
-    """Upstreams slower than the others are found by their answers."""
+    """Upstreams slower than the others are detected by the times of their answers."""
     FAILURE_SHARE = "failure_share"
     """Upstreams that fail many requests are avoided."""
     SUSPENSION = "suspension"
-    """Upstreams that could not be reached are left out for a while."""
+    """Upstreams that could not be reached are left out for some time."""
     REFERRAL = "referral"
-    """A process that cannot honour keys sends callers to one that can."""
+    """A process that cannot honour keys refers callers to one that can."""
     SHARED_POLLS = "shared_polls"
-    """A few processes ask the platform for changes and tell the others."""
+    """A few processes poll the platform for changes and broadcast them."""
 
 
 class Switches:
-    """Which mechanisms are off; one object for a process, changed while it runs.
+    """The mechanisms that are off; one object per process, changed at run time.
 
     Parameters
     ----------
@@ -86,4 +86,4 @@
 
 
 ALL_ON = Switches()
-"""For decisions of their own, as in tests."""
+"""Default of functions that are called without switches, as in tests."""
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_outcome_ledger.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_outcome_ledger.py
@@ -1,4 +1,4 @@
-"""How all processes together learn which upstreams fail."""
+"""Exchange of request outcomes, by which all processes together detect failing upstreams."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 @attrs.frozen
 class Outcomes:
-    """What became of some requests at an upstream.
+    """Counts of request outcomes at an upstream.
 
     Parameters
     ----------
     whole : int
-        Whole answers.
+        Complete answers.
     failed : int
-        Answers that failed or broke off, and connections that did not come about.
+        Answers that failed or broke off, and connections that were not established.
     unreachable : int
-        How many of these were refused, reset at once or silent, as where the upstream is down.
+        How many of the failed ones were refused, reset at once or unresponsive, as if the upstream
+        were down.
 
     Examples
     --------
@@ -43,11 +44,11 @@
 
 
 class OutcomeLedger:
-    """Outcomes that are still to be told, for each process that is to hear of them.
+    """Outcomes that are still to be sent, for each recipient process.
 
-    Each of many processes sees little of each upstream. Alone, every one of them must fail there
-    some times until it avoids an upstream that is down, and hundreds of requests are lost or sent
-    again at each. What all see together shows it after a few.
+    Each of many processes sends few requests to each upstream. Alone, each would have to fail there
+    several times before it avoids an upstream that is down, and hundreds of requests would be lost
+    or retried at each. Together, a few outcomes are enough.
 
     Examples
     --------
@@ -65,32 +66,33 @@
         self._unsent: dict[str, dict[str, Outcomes]] = {}
 
     def set_targets(self, near: Iterable[str], far: Iterable[str]) -> None:
-        """Take over who is told: processes of this failure domain, and relays of others."""
+        """Set the recipients: processes of this failure domain, and relays of others."""
         self._near = frozenset(near)
         wanted = [*self._near, *far]
         self._unsent = {name: self._unsent.get(name, {}) for name in wanted}
 
     def hear(self, source: str, outcomes: OutcomesByUpstream, is_near: bool) -> None:
-        """Take in outcomes of a process of this failure domain, or of the relay of another one.
+        """Queue the outcomes of a process of this failure domain, or of the relay of another one.
 
-        What comes from another domain is told within this one only: its relay tells the others.
+        Outcomes from another domain are sent within this one only: the relay of that domain sends
+        them to the others.
         """
         for name, unsent in self._unsent.items():
             if name != source and (is_near or name in self._near):
                 add_outcomes(unsent, outcomes)
 
     def has_failures(self, target: str) -> bool:
-        """Return whether failures are to be told to a process."""
+        """Return whether there are failures to be sent to a process."""
         return any(outcomes.failed for outcomes in self._unsent[target].values())
 
     def take(self, target: str) -> dict[str, Outcomes]:
-        """Return what one process is to be told, and take it as told."""
+        """Return and clear the outcomes to be sent to one process."""
         unsent, self._unsent[target] = self._unsent[target], {}
         return unsent
 
 
 def add_outcomes(total: dict[str, Outcomes], outcomes: OutcomesByUpstream) -> None:
-    """Add outcomes to those of the same upstreams."""
+    """Add outcomes to those of the same upstreams in ``total``."""
     for upstream, more in outcomes.items():
         known = total.get(upstream)
         total[upstream] = more if known is None else known + more
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_placing.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_placing.py
@@ -25,7 +25,7 @@
 
 FETCH_COST_SHARE = 0.35
 """Share of the cost of a second read that fetching shared tokens from another upstream has: the
-fetch takes some hundredths of the time, but the tokens then occupy memory, and link time at both
+fetch takes some hundredths of the time, but the tokens then occupy memory and link time at both
 upstreams."""
 
 FULL_UPSTREAM_COST_S = 1.0
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_ranking.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_ranking.py
@@ -1,4 +1,4 @@
-"""An order of processes on which all agree without speaking of it."""
+"""An order of processes that is the same at all of them without messages."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 def rank_processes(purpose: str, incarnations: Iterable[str]) -> list[str]:
-    """Return processes in the order in which they take on a task.
+    """Return processes in order of preference for a task.
 
     Parameters
     ----------
     purpose : str
-        Names the task. Each has its own order, so that the work is spread.
+        Name of the task. Each task has its own order, so that the work is spread.
     incarnations : iterable of str
 
     Notes
     -----
-    Processes that know the same members choose the same ones. The loss of a process moves only
-    those behind it.
+    Processes that know the same members choose the same ones. The removal of a process moves only
+    those after it.
 
     Examples
     --------
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_reading.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_reading.py
@@ -1,4 +1,4 @@
-"""How long engines take to a first token, learned from what callers see."""
+"""Model of the time that engines take to a first token, estimated from the observed answers."""
 
 from __future__ import annotations
 
@@ -8,48 +8,49 @@
 from ._linear import MAX_SAMPLE_RATIO
 
 OFFSET_WEIGHT = 0.04
-"""Weight of the newest sample in the offset: the last twenty-five or so count."""
+"""Weight of the newest sample in the offset: about the last twenty-five count."""
 
 SAMPLES_PER_SIZE = 40
-"""Prompts of each size that the slope is taken from, the newest ones: some seconds of a busy
-process."""
+"""Number of newest prompts of each size, short and long, that the slope is estimated from: some
+seconds of a busy process."""
 
 MIN_SAMPLES = 5
-"""Prompts from which on figures are taken from them and not from the first guess."""
+"""Number of prompts from which on estimates replace the initial values."""
 
 FAST_QUANTILE = 0.1
-"""Part of the prompts that count as read without a wait. A much smaller one would follow prompts
-that were in memory although this process did not know."""
+"""Share of the prompts that are assumed to be read without a wait. With a much smaller one, the
+estimate would follow prompts that were cached without this process knowing."""
 
 LONG_PROMPT_TOKENS = 1000
-"""Prompt tokens from which on a prompt tells the slope. Shorter ones tell what each prompt takes
-whatever its length, mostly the writing of the first event."""
+"""Prompt tokens from which on a prompt counts for the slope. Shorter ones show the time that each
+prompt takes whatever its length, mostly the generation of the first event."""
 
 MIN_READING_SHARE = 0.25
-"""Part of the fastest first tokens of long prompts that is reading at least. Without this limit the
-slope goes to nothing when short prompts wait too."""
+"""Least share of the fastest first tokens of long prompts that is reading. Without this limit the
+slope approaches zero when short prompts wait too."""
 
 SLOPE_RANGE = 10.0
-"""Largest ratio between the learned and the first slope, either way: no accelerator in use reads
-outside it."""
+"""Largest ratio between the estimated and the initial slope, in both directions: no accelerator in
+use reads outside this range."""
 
 
 class FirstTokenModel:
-    """The time to a first token as a line over the prompt tokens that are read before it.
+    """Linear model of the time to a first token over the prompt tokens that are read before it.
 
-    A prompt also waits for a place, for memory and for the answers that are written beside it.
-    Under load these waits are many times the reading, and figures of other processes are out of
-    date, so that a line fitted to all samples becomes flat: nothing seems to take time to read,
-    all prompts are sent at once as short ones, and engines run twice what they have places for.
-    But no first token comes before its own prompt is read. So the slope is that of the prompts that
-    were read fastest, less what short prompts take, and all other time is in the offset.
+    A prompt also waits for a place, for memory and for the answers that are generated meanwhile.
+    Under load these waits are many times the reading time, and loads of other processes are out of
+    date. A line fitted to all samples therefore becomes flat: reading seems to take no time, all
+    prompts are sent at once as short ones, and engines run twice as many requests as they have
+    places. But no first token arrives before its own prompt is read. So the slope is estimated from
+    the prompts that were read fastest, less the time of short prompts, and all other time goes into
+    the offset.
 
     Parameters
     ----------
     offset : float
-        First guess of the time where nothing is read, seconds.
+        Initial value of the time where nothing is read, seconds.
     slope : float
-        First guess of what each token adds, seconds.
+        Initial value of the time that each token adds, seconds.
 
     Examples
     --------
@@ -70,19 +71,20 @@
         self._slopes: deque[float] = deque(maxlen=SAMPLES_PER_SIZE)
 
     def predict(self, tokens: float) -> float:
-        """Return the time to a first token behind so many tokens, seconds."""
+        """Return the time to a first token after the given number of prompt tokens, seconds."""
         return self.offset + tokens * self.slope
 
     def learn(self, tokens: float, seconds: float) -> None:
-        """Take in how long a first token took behind so many tokens."""
+        """Update the offset with the time of a first token after the given number of tokens."""
         seconds = min(seconds, MAX_SAMPLE_RATIO * self.predict(tokens))
         rest_s = seconds - tokens * self.slope
         self.offset = max(0.001, self.offset + OFFSET_WEIGHT * (rest_s - self.offset))
 
     def note_read(self, own_tokens: float, seconds: float) -> None:
-        """Take in how long a first token took behind the reading of its own prompt.
+        """Update the slope with the time of a first token and the tokens of its own prompt.
 
-        Prompts that overtake others count too: a slope that is too low takes all for such.
+        Prompts that overtake others count too: if the slope is too low, all prompts are considered
+        short.
         """
         if own_tokens < LONG_PROMPT_TOKENS:
             self._short_s.append(seconds)
@@ -95,7 +97,7 @@
 
 
 def _low_quantile(samples: Collection[float], known: float) -> float:
-    """Return the figure below which the fast part of the samples is, or the known one at first."""
+    """Return the ``FAST_QUANTILE`` of the samples, or the known value if there are too few."""
     if len(samples) < MIN_SAMPLES:
         return known
     return sorted(samples)[int(FAST_QUANTILE * len(samples))]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_return.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_return.py
@@ -1,47 +1,48 @@
-"""When a refused caller is told to come back."""
+"""Time after which a rejected caller should retry."""
 
 from __future__ import annotations
 
 import random
 
 RETRY_AFTER_SHARE = (0.10, 0.30)
-"""Part of the remaining patience after which a refused caller is told to come back. Callers wait at
-most a third of it; the spread keeps them from coming back together."""
+"""Share of the remaining patience after which a rejected caller should retry. Callers wait at most
+a third of it; the spread keeps them from retrying at the same time."""
 
 MAX_PATIENCE_S = 6.5
-"""Patience beyond which the time does not grow, seconds, so that it is two seconds at most: most
-trouble has passed by then, and a caller told to wait longer would rather give up. A limit on the
-time itself would let all patient callers come back at the same moment."""
+"""Patience beyond which the delay does not grow, seconds, so that it is two seconds at most: most
+failures are over by then, and a caller that has to wait longer would rather give up. A limit on the
+delay itself would let all patient callers retry at the same moment."""
 
 REFERRAL_DELAY_S = (0.005, 0.05)
-"""First and last time after which a caller is told to come back to another process, seconds: only a
-spread, as the other process can serve at once."""
+"""Shortest and longest delay before a caller retries at another process, seconds: only a spread, as
+the other process can serve at once."""
 
 PEER_STATUS_EXPIRY_S = 2.5
-"""Age at which what another process said is dropped, seconds. It says something every second."""
+"""Age at which the status of another process is dropped, seconds. Each process sends its status
+every second."""
 
 
 class OtherProcesses:
-    """What the other processes say of themselves: whether they can serve callers with API keys.
+    """Status of the other processes: whether they can serve callers with API keys.
 
-    A process that does not reach the platform refuses such callers. While others reach it, the next
-    process that a caller is led to serves it at once; told to wait as in an outage of the platform,
-    the caller gets its answer two seconds late.
+    A process that cannot reach the platform rejects such callers. If others reach it, the next
+    process that a caller connects to serves it at once; if the caller was told to wait as in an
+    outage of the platform, it would get its answer two seconds late.
     """
 
     def __init__(self):
         self._statuses: dict[str, tuple[bool, float]] = {}
 
     def hear(self, peer: str, can_serve: bool, now: float) -> None:
-        """Note what a process says."""
+        """Record the status of a process."""
         self._statuses[peer] = (can_serve, now)
 
     def forget(self, peer: str) -> None:
-        """Note that a process is gone."""
+        """Remove a process that has disconnected."""
         self._statuses.pop(peer, None)
 
     def can_serve(self, now: float) -> bool:
-        """Return whether at least one of them can serve."""
+        """Return whether at least one other process can serve."""
         return any(
             can_serve_now and now - at <= PEER_STATUS_EXPIRY_S
             for can_serve_now, at in self._statuses.values()
@@ -49,12 +50,12 @@
 
 
 def return_after_s(patience_s: float | None, is_referred: bool, rng: random.Random) -> float:
-    """Return the time after which a refused caller should come back, seconds.
+    """Return the time after which a rejected caller should retry, seconds.
 
     Parameters
     ----------
     patience_s : float or None
-        Time for which the caller still waits, seconds; None if it does not say.
+        Time for which the caller still waits, seconds; None if unknown.
     is_referred : bool
         Whether another process can serve it now.
     rng : random.Random
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_store_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_store_era.py
@@ -1,13 +1,13 @@
-"""The newest era of the platform's store that a process has heard of."""
+"""Newest known era of the platform's store."""
 
 from __future__ import annotations
 
 
 class StoreEra:
-    """Tells answers of the store as it is now from those of the store before its return.
+    """Distinguishes answers of the present store from those before it was restored from a copy.
 
-    A store that comes back from a copy has lost its newest changes and gives out their revisions
-    again. An answer or message of the time before may still be under way then.
+    A store that is restored from a copy has lost its newest changes and assigns their revisions
+    again. An answer or message from before may still be in transit then.
 
     Examples
     --------
@@ -24,12 +24,12 @@
 
     @property
     def newest(self) -> int:
-        """Newest era heard of; 0 before the first answer or if the store names none."""
+        """Newest known era; 0 before the first answer or if the store has none."""
         return self._newest or 0
 
     @property
     def returned_at(self) -> float:
-        """When this process heard of the last return of the store."""
+        """Time at which this process detected the last restoration of the store."""
         return self._restored_at
 
     def is_past(self, era: int) -> bool:
@@ -37,13 +37,13 @@
         return era < self.newest
 
     def note(self, era: int, now: float) -> bool:
-        """Note the era of an answer or message.
+        """Record the era of an answer or message.
 
         Returns
         -------
         bool
-            Whether the store has come back from a copy since the last call. The first era that a
-            process hears of replaces nothing.
+            Whether the store was restored from a copy since the last call. False for the first era
+            that a process records, which replaces no other.
         """
         if self._newest is not None and era <= self._newest:
             return False
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_suspects.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_suspects.py
@@ -1,27 +1,27 @@
-"""Requests that seem to crash the upstreams that run them."""
+"""Detection of requests that crash the upstreams that run them."""
 
 from __future__ import annotations
 
 SUSPICION_EXPIRY_S = 60.0
-"""How long a suspicion is kept after its newest crash, seconds."""
+"""Time for which a suspicion is kept after its newest crash, seconds."""
 
 MIN_CRASHES = 2
-"""Upstreams that must have gone down under a request before it is refused. One is not enough: all
-that ran beside the culprit broke off too."""
+"""Upstreams that must have crashed while running a request before it is rejected. One is not
+enough: all requests that ran beside the cause were interrupted too."""
 
 CRASH_DETECTION_S = 3.0
-"""Longest time between the break of an answer and the sign that the upstream is down, seconds. The
-next connection to it usually tells within a second."""
+"""Longest time between the interruption of an answer and the detection that the upstream is down,
+seconds. The next connection to it usually fails within a second."""
 
 
 class CrashSuspects:
-    """Counts on how many upstreams each request was running when they went down.
+    """Counts the upstreams that crashed while they were running each request.
 
-    An upstream that starts again under its id can go down once more, so that incarnations count.
+    Upstreams are counted by incarnation, as one that restarts under its id can crash again.
 
-    A request can crash every upstream that starts it, and its caller sends it again. Without a
-    limit it takes the fleet down one upstream after another. An answer that breaks off is no crash
-    by itself: only if the upstream is then found to be down do the requests that broke there count.
+    A request can crash every upstream that starts it, and its caller retries it. Without a limit it
+    crashes one upstream of the fleet after another. An interrupted answer alone is no crash: the
+    requests that were interrupted at an upstream count only if it is then found to be down.
     """
 
     def __init__(self):
@@ -29,16 +29,16 @@
         self._crashed: dict[str, tuple[float, frozenset[str]]] = {}
 
     def note_break(self, digest: str, incarnation: str, now: float) -> None:
-        """Note that an upstream broke off a request."""
+        """Record that a request was interrupted at an upstream."""
         self._interrupted.setdefault(incarnation, []).append((now, digest))
 
     def note_down(self, incarnation: str, now: float) -> list[str]:
-        """Note that an upstream is down: it refuses connections, or its entry is gone.
+        """Record that an upstream is down: it refuses connections, or its entry was deleted.
 
         Returns
         -------
         list of str
-            Digests of the requests that broke off there a short time ago.
+            Digests of the requests that were interrupted there within ``CRASH_DETECTION_S``.
         """
         broken = self._interrupted.pop(incarnation, [])
         digests = [digest for at, digest in broken if now - at <= CRASH_DETECTION_S]
@@ -47,16 +47,16 @@
         return digests
 
     def note_crash(self, digest: str, incarnation: str, now: float) -> None:
-        """Note that a request was running at an upstream that went down."""
+        """Record that a request was running at an upstream that crashed."""
         _, ids = self._crashed.get(digest, (now, frozenset()))
         self._crashed[digest] = (now, ids | {incarnation})
 
     def crashes(self, digest: str) -> int:
-        """Return how many upstreams went down under a request."""
+        """Return the number of upstreams that crashed while they were running a request."""
         return len(self._crashed.get(digest, (0.0, frozenset()))[1])
 
     def is_refused(self, digest: str, now: float) -> bool:
-        """Return whether a request must not be sent to one more upstream."""
+        """Return whether a request must not be sent to another upstream."""
         self._forget(now)
         return self.crashes(digest) >= MIN_CRASHES
 
