--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/__init__.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/__init__.py
@@ -26,14 +26,14 @@
 from ._losses import LossRate
 from ._mechanisms import Mechanism, Switches
 from ._outcome_ledger import OutcomeLedger, Outcomes, OutcomesByUpstream, add_outcomes
-from ._pace import SteadyReservation
 from ._pending import NO_LOAD, LoadShare, PendingPrompts
 from ._placing import Demand, Placement, place_prompt
 from ._polling import Fit, PollTurn, is_poller
 from ._prompts import Prompt, PromptMemory
 from ._ranking import rank_processes
 from ._reading import FirstTokenModel
-from ._return import OtherProcesses, return_after_s
+from ._retry_after import OtherProcesses, return_after_s
+from ._steady_reservation import SteadyReservation
 from ._store_era import StoreEra
 from ._suspects import CrashSuspects
 from ._upstreams import (
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
@@ -4,8 +4,8 @@
 
 from ._linear import LinearModel
 from ._mechanisms import ALL_ON, Mechanism, Switches
-from ._pace import SteadyReservation
 from ._reading import FirstTokenModel
+from ._steady_reservation import SteadyReservation
 from ._upstreams import Upstream
 
 FIRST_S = 0.03
