--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
@@ -133,7 +133,7 @@
         line = self._first_token_model(is_short)
         upstream.reading.learn(seconds / line.predict(tokens), now)
         line.learn(tokens, seconds)
-        self.first_token.note_read(own, seconds)
+        self.first_token.record_own_reading(own, seconds)
 
     def _reading_factor(self, upstream: Upstream, now: float) -> float:
         uses = self.switches.uses(Mechanism.SPEED_FACTORS)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_reading.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_reading.py
@@ -56,8 +56,8 @@
     --------
     >>> line = FirstTokenModel(0.03, 1 / 50_000)
     >>> for wait_s in [0.0, 0.3, 0.8, 2.0] * 10:
-    ...     line.note_read(0, 0.1 + wait_s)
-    ...     line.note_read(5000, 0.1 + 5000 / 40_000 + wait_s)
+    ...     line.record_own_reading(0, 0.1 + wait_s)
+    ...     line.record_own_reading(5000, 0.1 + 5000 / 40_000 + wait_s)
     >>> round(1 / line.slope)
     40000
     """
@@ -80,7 +80,7 @@
         rest_s = seconds - tokens * self.slope
         self.offset = max(0.001, self.offset + OFFSET_WEIGHT * (rest_s - self.offset))
 
-    def note_read(self, own_tokens: float, seconds: float) -> None:
+    def record_own_reading(self, own_tokens: float, seconds: float) -> None:
         """Update the slope with the time of a first token and the tokens of its own prompt.
 
         Prompts that overtake others count too: if the slope is too low, all prompts are considered
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/conftest.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of a forwarder's decisions."""
+"""Fixtures for the tests of the forwarder's decisions."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def make_upstream():
-    """A factory of upstreams of one service."""
+    """Return a factory of upstreams of one service."""
 
     def make(id_, failure_domain="a", leaving=False):
         return Upstream(
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_config.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Look-ups, freshness and the retry budget."""
+"""Look-ups in the configuration, its freshness, and the retry budget."""
 
 import random
 
@@ -72,14 +72,14 @@
     assert directory.find_organisation("") is None
 
 
-def test_shares_are_drawn_by_their_weights():
+def test_services_are_sampled_by_their_weights():
     shares = (ServiceShare("old", 90), ServiceShare("new", 10))
     rng = random.Random(1)
-    drawn = [pick_service(make_route("/a/", shares=shares), rng) for _ in range(2000)]
-    assert 0.07 < drawn.count("new") / 2000 < 0.13
+    sampled = [pick_service(make_route("/a/", shares=shares), rng) for _ in range(2000)]
+    assert 0.07 < sampled.count("new") / 2000 < 0.13
 
 
-def test_older_answer_does_not_shorten_the_lease():
+def test_older_confirmation_does_not_shorten_the_lease():
     lease = FreshnessLease(4.0)
     lease.confirm(10.0)
     lease.confirm(8.0)
@@ -89,9 +89,9 @@
 
 @given(st.lists(st.tuples(st.floats(0, 2), st.booleans()), max_size=200))
 def test_repeats_of_a_window_never_exceed_the_budget(steps):
-    """Requests and repeats come in any order.
+    """Requests and retries arrive in any order.
 
-    In each window, repeats stay within the share of the requests of that window and the burst.
+    In each window, retries stay within the share of the requests of that window plus the burst.
     """
     window = RetryWindow(0.2, 2.0, 10.0)
     now = 0.0
@@ -121,12 +121,13 @@
     return ConfigDirectory(ForwardConfig(1, routes, organisations))
 
 
-def test_the_route_decides_among_requests_of_one_organisation_priority():
-    """All organisations have the same priority, which goes before that of the routes.
+def test_route_priority_decides_between_requests_of_equal_organisation_priority():
+    """All organisations have the same priority, which went before that of the routes.
 
-    Requests of an urgent and of another route then had the same urgency but for their length. When
-    the memory of an engine ran out, it preempted the newest, the urgent ones: 55 of them in one
-    burst, whose callers saw their streams stop while less urgent ones went on.
+    Requests of an urgent route and of another one then had the same urgency except for their
+    length. When an engine ran out of memory, it preempted the newest requests, which were the
+    urgent ones: 55 of them in one burst, whose callers saw their streams stop while less urgent
+    ones continued.
     """
     directory = directory_of((0, 1), (1, 1))
     organisation = directory.find_organisation("k0")
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_delayed_knowledge.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_delayed_knowledge.py
@@ -1,4 +1,4 @@
-"""Many processes that place prompts by what they heard of each other some time ago."""
+"""Placement by many processes with outdated loads of each other."""
 
 import random
 from collections import deque
@@ -27,7 +27,7 @@
 
 @attrs.define(eq=False)
 class Sent:
-    """A prompt at its upstream."""
+    """A prompt that was sent to an upstream."""
 
     process: int
     call: str
@@ -37,20 +37,19 @@
 
 
 class Fleet:
-    """Processes with decisions of their own before as many engines, which read one prompt after
-    another.
+    """Processes that decide independently, and as many engines that read one prompt after another.
 
     Parameters
     ----------
     delay_s : float
-        Age of what each process knows of the others.
+        Age of the loads that each process has of the others, seconds.
     seed : int
     size : int
-        Processes, and engines.
+        Number of processes, and of engines.
     arrivals_per_s : int
     burst_s : float
     parts : int
-        Shared parts, each prompt has one of them.
+        Number of shared parts, of which each prompt has one.
     """
 
     def __init__(self, delay_s, seed, size=12, arrivals_per_s=200, burst_s=3.0, parts=60):
@@ -66,7 +65,7 @@
         self.model = EngineModel()
         self.engines = {f"u{number}": deque() for number in range(self.size)}
         self.history = deque(maxlen=self.delay_ticks + 1)
-        self.asked = 0
+        self.requests = 0
         self.in_time = 0
 
     def _make_book(self):
@@ -78,40 +77,40 @@
         book.apply(UpstreamChanges(True, tuple(entries)), 0.0)
         return book
 
-    def play(self):
-        """Play a burst, and what is left after it; return the share that is in time."""
+    def run(self):
+        """Run a burst and the time until its end; return the share of requests in time."""
         while self.now < self.burst_s + 2.0:
             if self.now < self.burst_s:
-                self._arrive()
-            self._tell()
+                self._add_requests()
+            self._exchange_loads()
             for process in range(self.size):
                 self._start(process)
-            self._read()
+            self._run_engines()
             self.now += TICK_S
-        return self.in_time / self.asked
+        return self.in_time / self.requests
 
-    def _arrive(self):
+    def _add_requests(self):
         for _ in range(round(self.arrivals_per_s * TICK_S)):
-            self.asked += 1
+            self.requests += 1
             shared = f"part{self.rng.randrange(self.parts)}"
-            prompt = Prompt(((shared, 3000), (f"own{self.asked}", 3000)), 50)
+            prompt = Prompt(((shared, 3000), (f"own{self.requests}", 3000)), 50)
             waiting = WaitingPrompt(
                 Demand(prompt, TARGET_S, PATIENCE_S),
                 1,
                 self.now + TARGET_S,
                 self.now + 1.0,
                 (),
-                f"call{self.asked}",
+                f"call{self.requests}",
             )
             self.queues[self.rng.randrange(self.size)].add(waiting)
 
-    def _tell(self):
-        """Let each process hear what the others had some time ago."""
+    def _exchange_loads(self):
+        """Let each process receive the loads that the others had some time ago."""
         self.history.append([{item.id: item.share() for item in book.all()} for book in self.books])
-        heard = self.history[0]
+        received = self.history[0]
         for me, book in enumerate(self.books):
             for upstream in book.all():
-                others = [heard[other][upstream.id] for other in range(self.size) if other != me]
+                others = [received[other][upstream.id] for other in range(self.size) if other != me]
                 tokens = sum(share.tokens for share in others)
                 running = sum(share.running for share in others)
                 upstream.pending.hear("others", LoadShare(tokens, running), self.now)
@@ -129,7 +128,7 @@
             self.engines[upstream.id].append(sent)
         queue.take_expired(self.now)
 
-    def _read(self):
+    def _run_engines(self):
         for name, prompts in self.engines.items():
             budget = TOKENS_PER_S * TICK_S
             while prompts and budget > 0:
@@ -149,32 +148,34 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_fresh_figures_serve_a_burst_of_long_prompts_better(seed):
+def test_recent_loads_serve_a_burst_of_long_prompts_better(seed):
     """A dozen processes send a burst of long prompts to a dozen engines.
 
-    Each knows its own prompts at once and those of the others a second late, as with hundreds of
-    processes that each tell all others. Many then choose the same engine, whose prompts are late
-    while other engines have nothing to read.
+    Each process has its own load at once and those of the others a second late, as if hundreds of
+    processes each sent their loads to all others. Many then choose the same engine, whose prompts
+    are late while other engines have nothing to read.
     """
-    fresh = Fleet(0.05, seed).play()
-    old = Fleet(1.0, seed).play()
-    assert fresh > old + 0.1
+    recent = Fleet(0.05, seed).run()
+    outdated = Fleet(1.0, seed).run()
+    assert recent > outdated + 0.1
 
 
-def test_many_processes_look_at_fewer_upstreams_each():
-    """Twenty processes send a burst and hear of each other a tenth of a second late.
+def test_fewer_candidates_per_decision_are_better_with_many_processes():
+    """Twenty processes send a burst and receive loads of each other a tenth of a second late.
 
-    All that look at many upstreams find the same one idle and send their prompts there at the same
-    moment, so that these are late while other upstreams have nothing to read.
+    With many candidates all processes find the same upstream idle and send their prompts there at
+    the same moment, so that these are late while other upstreams have nothing to read.
     """
 
-    def play(processes, seed):
+    def run(processes, seed):
         fleet = Fleet(0.1, seed, size=20, arrivals_per_s=300, burst_s=1.5, parts=300)
         fleet.model.processes = processes
-        return fleet.play()
+        return fleet.run()
 
     seeds = [1, 2, 3]
-    many = [play(20, seed) for seed in seeds]
-    as_few = [play(1, seed) for seed in seeds]
-    assert all(more > less for more, less in zip(many, as_few, strict=True))
-    assert sum(many) > 1.05 * sum(as_few)
+    with_fewer_candidates = [run(20, seed) for seed in seeds]
+    with_more_candidates = [run(1, seed) for seed in seeds]
+    assert all(
+        more > less for more, less in zip(with_fewer_candidates, with_more_candidates, strict=True)
+    )
+    assert sum(with_fewer_candidates) > 1.05 * sum(with_more_candidates)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_load_relay.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_load_relay.py
@@ -1,4 +1,4 @@
-"""How figures about upstreams reach many processes."""
+"""Exchange of upstream loads among many processes."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 class Fleet:
-    """Processes of some failure domains whose first one is the relay, in simulated time."""
+    """Processes of some failure domains in simulated time; the first of each is its relay."""
 
     def __init__(self, domains, processes):
         self.names = [[f"{d}-{p}" for p in range(processes)] for d in range(domains)]
@@ -21,7 +21,7 @@
         self.messages = 0
 
     def tick(self):
-        """Let all tell what they have and hear what was told."""
+        """Send the loads of all processes and deliver all updates."""
         self.now += TICK_S
         for names, relay in zip(self.names, self.relays, strict=True):
             for name in names:
@@ -29,27 +29,27 @@
             others = [item[0] for item in self.names if item is not names]
             relay.set_targets(names[1:], others)
         sent = [relay.compose_all(self.now) for relay in self.relays]
-        for domain, news in enumerate(sent):
-            self.messages += len(news) + len(self.names[domain]) - 1
-            for name, item in news.items():
-                self.take(f"domain {domain}", domain, name, item)
+        for domain, update in enumerate(sent):
+            self.messages += len(update) + len(self.names[domain]) - 1
+            for name, item in update.items():
+                self.deliver(f"domain {domain}", domain, name, item)
 
-    def take(self, source, domain, name, news):
+    def deliver(self, source, domain, name, update):
         there = int(name.partition("-")[0])
         if there != domain:
-            self.relays[there].hear(source, news.shares, self.now, False, news.is_whole)
+            self.relays[there].hear(source, update.shares, self.now, False, update.is_whole)
             return
-        view = {} if news.is_whole else self.views[name]
-        self.views[name] = {**view, **news.shares}
+        view = {} if update.is_whole else self.views[name]
+        self.views[name] = {**view, **update.shares}
 
     def others(self, me, upstream):
-        """Return what all but one process have at an upstream."""
+        """Return the tokens that all processes but one have at an upstream."""
         shares = [self.loads[name].get(upstream) for name in self.loads if name != me]
         return sum(share.tokens for share in shares if share is not None)
 
 
-def test_every_process_knows_what_all_others_have_after_some_ticks():
-    """Figures of other processes were as old as a whole answer, and many chose the same place."""
+def test_every_process_has_the_loads_of_all_others_after_some_ticks():
+    """Loads of peers were as old as complete answers, and many chose the same upstream."""
     rng = random.Random(3)
     fleet = Fleet(4, 5)
     for _ in range(60):
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(("domains", "processes"), [(6, 11), (6, 50)])
-def test_messages_grow_with_the_processes_and_not_with_their_square(domains, processes):
+def test_messages_grow_linearly_with_the_processes(domains, processes):
     fleet = Fleet(domains, processes)
     for tick in range(20):
         for name in fleet.loads:
@@ -78,18 +78,18 @@
     assert fleet.messages / 20 <= 2 * count + domains * domains
 
 
-def test_nothing_is_told_while_nothing_changes_but_a_sign_of_life():
+def test_only_heartbeats_are_sent_while_nothing_changes():
     relay = LoadRelay()
     relay.hear("one", {"u": LoadShare(5, 1)}, 0.0, is_near=True)
     relay.set_targets(["two"], [])
     assert relay.compose("two", 0.0).is_whole
     assert relay.compose("two", 0.1) is None
-    beat = relay.compose("two", 0.3)
-    assert (beat.is_whole, beat.shares) == (False, {})
+    heartbeat = relay.compose("two", 0.3)
+    assert (heartbeat.is_whole, heartbeat.shares) == (False, {})
 
 
-def test_figures_of_a_process_that_fell_silent_are_left_out():
-    """A process is cut off; its requests end with it, but its last figures would stay for ever."""
+def test_loads_of_an_unresponsive_process_expire():
+    """A process is cut off; its requests end with it, but its last loads would stay for ever."""
     relay = LoadRelay()
     relay.hear("silent", {"u": LoadShare(500, 3)}, 0.0, is_near=True)
     relay.set_targets(["two"], [])
@@ -97,15 +97,15 @@
     assert relay.compose("two", 3.0).shares == {}
 
 
-def test_parts_are_told_once_to_everybody_but_their_source():
+def test_parts_are_sent_once_to_all_but_their_source():
     relay = LoadRelay()
     relay.set_targets(["one", "two"], ["far"])
     relay.hear("one", {}, 0.0, is_near=True)
     relay.hear("domain b", {}, 0.0, is_near=False)
     relay.hear_parts("one", "u", {"aa": 100})
     relay.hear_parts("domain b", "u", {"bb": 200})
-    told = relay.compose_all(0.0)
-    assert {name: dict(news.parts) for name, news in told.items()} == {
+    received = relay.compose_all(0.0)
+    assert {name: dict(update.parts) for name, update in received.items()} == {
         "one": {"u": {"bb": 200}},
         "two": {"u": {"aa": 100, "bb": 200}},
         "far": {"u": {"aa": 100}},
@@ -113,49 +113,50 @@
     assert relay.compose("two", 5.0).parts == {}
 
 
-def look(watch, until, now=0.0, speaking=()):
-    """Look every tenth of a second, hearing from some relays each time; return the last choice."""
+def choose_repeatedly(watch, until, now=0.0, sending=()):
+    """Choose every tenth of a second, with messages of some relays; return the last choice."""
     chosen = None
     while now < until - 1e-9:
         now += 0.1
-        for name in speaking:
+        for name in sending:
             watch.note_heard(name, now)
         chosen = watch.choose(["a", "b"], now)
     return chosen
 
 
-def test_silent_relay_is_left_and_tried_again_later():
-    """A relay freezes; its connections stay open and nobody hears anything of other processes."""
+def test_unresponsive_relay_is_replaced_and_retried_later():
+    """A relay freezes; its connections stay open, and no process receives loads of the others."""
     watch = RelayWatch()
-    assert look(watch, 1.0, speaking=["a"]) == "a"
-    assert look(watch, 1.5, now=1.0) == "a"
-    assert look(watch, 2.0, now=1.5, speaking=["b"]) == "b"
-    assert look(watch, 3.0, now=2.0, speaking=["b"]) == "b"
-    assert look(watch, 4.0, now=3.0, speaking=["a", "b"]) == "a"
+    assert choose_repeatedly(watch, 1.0, sending=["a"]) == "a"
+    assert choose_repeatedly(watch, 1.5, now=1.0) == "a"
+    assert choose_repeatedly(watch, 2.0, now=1.5, sending=["b"]) == "b"
+    assert choose_repeatedly(watch, 3.0, now=2.0, sending=["b"]) == "b"
+    assert choose_repeatedly(watch, 4.0, now=3.0, sending=["a", "b"]) == "a"
 
 
-def test_process_that_stood_still_itself_does_not_leave_its_relay():
-    """A process gets no processor time for a second; what its relay told it lies unread.
+def test_stalled_process_does_not_replace_its_relay():
+    """A process gets no processor time for a second; messages of its relay are not read yet.
 
-    It left the relay, heard nobody for seconds, and what it told meanwhile reached nobody.
+    It replaced the relay, received no loads for seconds, and those that it sent meanwhile reached
+    no other process.
     """
     watch = RelayWatch()
-    assert look(watch, 1.0, speaking=["a"]) == "a"
+    assert choose_repeatedly(watch, 1.0, sending=["a"]) == "a"
     assert watch.choose(["a", "b"], 2.5) == "a"
-    assert look(watch, 3.0, now=2.5) == "a"
-    assert look(watch, 3.5, now=3.0) == "b"
+    assert choose_repeatedly(watch, 3.0, now=2.5) == "a"
+    assert choose_repeatedly(watch, 3.5, now=3.0) == "b"
 
 
-def test_process_that_is_the_relay_itself_never_leaves_itself():
+def test_process_that_is_the_relay_never_replaces_itself():
     watch = RelayWatch()
     assert watch.choose(["me", "b"], 0.0, "me") == "me"
     assert watch.choose(["me", "b"], 9.0, "me") == "me"
 
 
-def test_news_of_a_part_keeps_the_figures_of_its_upstream():
-    """A process tells that an upstream read a part, while its requests there are as before.
+def test_update_of_a_part_includes_the_load_of_its_upstream():
+    """A process reports that an upstream read a part, while its requests there are unchanged.
 
-    The message named the upstream without figures, and all others took it for idle.
+    The update named the upstream without a load, and all other processes considered it idle.
     """
     relay = LoadRelay()
     relay.hear("one", {"u": LoadShare(500, 2)}, 0.0, is_near=True)
@@ -163,25 +164,26 @@
     relay.compose("two", 0.0)
     relay.hear("one", {"u": LoadShare(500, 2)}, 0.1, is_near=True)
     relay.hear_parts("one", "u", {"aa": 100})
-    news = relay.compose("two", 0.1)
-    assert (news.is_whole, news.shares) == (False, {"u": LoadShare(500, 2)})
+    update = relay.compose("two", 0.1)
+    assert (update.is_whole, update.shares) == (False, {"u": LoadShare(500, 2)})
 
 
 def test_many_parts_are_told_in_small_messages():
-    """A process starts and is told of thousands of prompt parts that upstreams hold.
+    """A process starts and receives thousands of prompt parts that upstreams hold.
 
-    In one message to each process of its failure domain they filled the link of a small VM for a
-    second: connections to upstreams timed out, and callers left before their answers came.
+    In one message to each process of its failure domain, they filled the link of a small VM for a
+    second: connections to upstreams timed out, and callers disconnected before their answers
+    arrived.
     """
     relay = LoadRelay()
     relay.hear("one", {}, now=1.0, is_near=True)
     relay.set_targets(near=["one"], far=[])
     for upstream in ("u", "v"):
         relay.add_parts("one", upstream, {f"{upstream}{number}": 9 for number in range(450)})
-    told = []
+    received = []
     for tick in range(20):
-        news = relay.compose("one", now=1.0 + 0.04 * tick)
-        if news is not None:
-            told.append(sum(map(len, news.parts.values())))
-    assert max(told) <= 100
-    assert sum(told) == 900
+        update = relay.compose("one", now=1.0 + 0.04 * tick)
+        if update is not None:
+            received.append(sum(map(len, update.parts.values())))
+    assert max(received) <= 100
+    assert sum(received) == 900
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_losses.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_losses.py
@@ -9,12 +9,13 @@
     ("lost", "answer_s", "upstreams", "pays"),
     [(0, 10.0, 5, False), (1, 0.5, 5, False), (1, 2.0, 5, True), (1, 2.0, 26, False)],
 )
-def test_copies_are_kept_where_a_stream_is_likely_to_lose_its_upstream(
+def test_copies_are_worthwhile_if_a_stream_is_likely_to_lose_its_upstream(
     lost, answer_s, upstreams, pays
 ):
     """Upstreams crash one after the other, and streams that must not run twice are lost with them.
 
-    Copies save them, but they cost memory and transfers for every stream while nothing goes down.
+    Copies save these streams, but cost memory and transfers for every stream while no upstream
+    fails.
     """
     losses = LossRate()
     for number in range(lost):
@@ -22,7 +23,7 @@
     assert losses.copies_pay(answer_s, upstreams, 1.0) == pays
 
 
-def test_one_incarnation_that_is_found_down_again_and_again_counts_once():
+def test_repeated_losses_of_one_incarnation_count_once():
     losses = LossRate()
     for _ in range(50):
         losses.note("u1", 0.0)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_mechanisms.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_mechanisms.py
@@ -29,9 +29,9 @@
 
 @pytest.mark.parametrize("mechanism", Mechanism)
 def test_prompts_are_placed_without_any_one_mechanism(mechanism, upstreams):
-    """A mechanism misbehaves and its operator turns it off.
+    """A mechanism performs badly and its operator turns it off.
 
-    Were others to depend on it, requests would fail until the process is replaced.
+    If others depended on it, requests would fail until the process is replaced.
     """
     model = EngineModel(Switches([mechanism]))
     queue = PromptQueue()
@@ -40,7 +40,7 @@
     assert start.placement.upstream in upstreams
 
 
-def test_unknown_mechanism_is_refused():
+def test_unknown_mechanism_is_rejected():
     with pytest.raises(ValueError, match="fetch"):
         Switches(["fetch"])
 
@@ -55,10 +55,10 @@
     assert place_prompt(upstreams, demand(), model, (), 0.0).source is None
 
 
-def test_upstreams_that_fail_or_are_unreachable_are_left_out_only_by_their_mechanisms(upstreams):
-    grey, unreachable, sound = upstreams
+def test_unhealthy_upstreams_are_left_out_only_by_their_mechanisms(upstreams):
+    degraded, unreachable, healthy = upstreams
     for _ in range(8):
-        grey.health.note_failure(0.0)
+        degraded.health.note_failure(0.0)
     unreachable.health.note_unreachable(0.0)
     for _ in range(8):
         unreachable.health.note_success(0.0)
@@ -67,9 +67,9 @@
     def usable(*off):
         return list(usable_upstreams(upstreams, (), 0.1, Switches(off)))
 
-    assert usable() == [sound]
-    assert usable("failure_share") == [grey, sound]
-    assert usable("suspension") == [unreachable, sound]
+    assert usable() == [healthy]
+    assert usable("failure_share") == [degraded, healthy]
+    assert usable("suspension") == [unreachable, healthy]
     assert usable("suspension", "failure_share") == upstreams
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_polling.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_polling.py
@@ -1,4 +1,4 @@
-"""Which processes ask the platform, and when the others ask too."""
+"""Which processes poll the platform, and when the others poll too."""
 
 import random
 
@@ -11,17 +11,17 @@
 
 @pytest.fixture
 def turn():
-    """The turn of a process that others tell what they hear."""
+    """Return the schedule of a process that is no poller and receives updates from peers."""
     turn = PollTurn(random.Random(1))
     turn.is_poller = False
     turn.confirm_by_peer(10.0, 10.0)
     return turn
 
 
-def test_hundreds_of_processes_have_few_pollers_and_other_ones_for_each_table():
-    """Every process of a large fleet asks for what its neighbours have just heard.
+def test_hundreds_of_processes_have_few_pollers_that_differ_by_table():
+    """Every process of a large fleet requests what its peers have just received.
 
-    The platform limits and charges calls: they grew with the processes and gained nobody anything.
+    The platform limits and charges calls, whose number grew with the processes to no benefit.
     """
     names = [f"process-{number}" for number in range(300)]
     pollers = {
@@ -32,29 +32,29 @@
     assert len(set.union(*pollers.values())) > 3
 
 
-def test_another_process_takes_the_place_of_a_lost_poller():
+def test_another_process_replaces_a_lost_poller():
     names = {f"process-{number}" for number in range(30)}
     lost = {me for me in names if is_poller("t", me, names - {me})}
     left = names - lost
     assert sum(is_poller("t", me, left - {me}) for me in left) == 3
 
 
-def test_process_that_nobody_tells_anything_asks_by_itself(turn):
+def test_process_that_receives_no_updates_polls_by_itself(turn):
     """All pollers are cut off from the others, whose connections to them stay open for seconds."""
     assert not turn.is_due(10.0 + WAIT_S, WAIT_S)
     assert turn.is_due(10.0 + 1.5 * WAIT_S, WAIT_S)
-    assert turn.hold_s(13.0, WAIT_S) == 0.0, "the answer is wanted at once"
+    assert turn.hold_s(13.0, WAIT_S) == 0.0, "the answer is needed at once"
 
 
-def test_process_that_had_to_ask_polls_in_place_of_the_lost_ones(turn):
+def test_process_that_had_to_poll_substitutes_for_lost_pollers(turn):
     turn.succeed(13.0, 13.0, WAIT_S)
     assert turn.polls(13.1)
     turn.confirm_by_peer(23.0, 23.0)
-    assert not turn.polls(23.1), "the others poll again"
+    assert not turn.polls(23.1), "other processes poll again"
 
 
-def test_processes_that_nobody_tells_anything_do_not_ask_together():
-    """All of hundreds of processes would ask in the same moment, and be turned away as too many."""
+def test_processes_that_receive_no_updates_do_not_poll_at_the_same_time():
+    """Hundreds of processes would poll at the same moment and be rejected as too many."""
     rng = random.Random(1)
     turns = [PollTurn(rng) for _ in range(100)]
     for turn in turns:
@@ -64,14 +64,14 @@
     assert 0 < due < 50
 
 
-def test_process_asks_at_once_for_what_it_missed(turn):
-    """A process connects to a poller that has told the others of a change a moment before."""
+def test_process_requests_missed_changes_at_once(turn):
+    """A process connects to a poller just after the poller has broadcast a change."""
     assert turn.judge(known=5, after=7, upto=9) is Fit.GAP
     assert turn.is_due(10.0, WAIT_S)
-    assert not turn.tells(10.0, WAIT_S), "each of hundreds would tell all others"
+    assert not turn.tells(10.0, WAIT_S), "each of hundreds would broadcast to all others"
     turn.succeed(10.0, 10.0, WAIT_S)
     assert not turn.is_due(10.1, WAIT_S)
-    assert not turn.polls(10.1), "others poll and tell"
+    assert not turn.polls(10.1), "other processes poll and broadcast"
 
 
 @pytest.mark.parametrize(
@@ -85,24 +85,25 @@
         (8, 8, Fit.GAP),
     ],
 )
-def test_changes_are_taken_only_if_none_is_left_out_before_them(turn, after, upto, expected):
+def test_changes_are_applied_only_if_there_is_no_gap_before_them(turn, after, upto, expected):
     assert turn.judge(5, after, upto) is expected
 
 
-def test_poller_that_is_turned_away_leaves_the_asking_to_the_others(turn):
-    """The platform turns some processes away and serves the others.
+def test_rejected_poller_leaves_polling_to_the_others(turn):
+    """The platform rejects some processes and serves the others.
 
-    Their questions came several times a second, each charged, though the others told the answer.
+    The rejected ones sent several requests per second, each of them charged, although they received
+    the answers from peers.
     """
     turn.is_poller = True
     turn.fail(11.0)
     assert not turn.is_due(11.1, WAIT_S)
     turn.confirm_by_peer(13.0, 13.0)
     assert turn.next_due_at(13.0, WAIT_S) == 14.0
-    assert turn.is_due(14.0, WAIT_S), "the platform may answer by now"
+    assert turn.is_due(14.0, WAIT_S), "the platform may answer again by now"
 
 
-def test_process_alone_asks_again_at_once_after_a_failure():
+def test_process_without_peers_retries_at_once_after_a_failure():
     turn = PollTurn(random.Random(1))
     turn.fail(1.0)
     assert turn.is_due(1.0, WAIT_S)
@@ -114,16 +115,16 @@
     assert turn.hold_s(10.0, WAIT_S) == WAIT_S
 
 
-def test_trouble_of_one_process_ends_with_what_others_tell(turn):
-    """Guards against work for upstreams that left while one process alone was turned away."""
+def test_failure_of_one_process_ends_with_an_update_of_a_peer(turn):
+    """Guards against sending work to removed upstreams while the platform rejects one process."""
     turn.fail(11.0)
     turn.confirm_by_peer(11.1, 11.2)
     turn.succeed(14.0, 14.0, WAIT_S)
     assert turn.steady_s(14.0) == pytest.approx(2.9)
 
 
-def test_old_news_does_not_end_trouble(turn):
-    """Guards against a loss of all upstreams whose entries lapsed in an outage."""
+def test_old_update_does_not_end_a_failure(turn):
+    """Guards against dropping all upstreams whose entries expired in an outage."""
     turn.fail(11.0)
     turn.confirm_by_peer(10.9, 11.2)
     turn.succeed(14.0, 14.0, WAIT_S)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
@@ -1,4 +1,4 @@
-"""Where prompts go, and how they wait, under the loads that decide it."""
+"""Placement and queueing of prompts under load."""
 
 import random
 
@@ -47,7 +47,7 @@
     return [make_upstream(f"u{number}") for number in range(4)]
 
 
-def wait(prompt, now, urgency, target_s, hold_s=1.5):
+def make_waiting(prompt, now, urgency, target_s, hold_s=1.5):
     demand = Demand(prompt, target_s, 5.0)
     return WaitingPrompt(demand, urgency, now + target_s, now + hold_s, ())
 
@@ -58,107 +58,110 @@
     assert first.upstream is again.upstream
 
 
-def test_busy_home_is_left_only_when_waiting_costs_more_than_reading_again(upstreams, model):
-    """One shared part gets much of the traffic.
+def test_busy_preferred_upstream_is_left_only_when_waiting_costs_more_than_reading_again(
+    upstreams, model
+):
+    """One shared part receives much of the traffic.
 
-    Left at once, its tokens are read again at every upstream; never left, its requests wait while
-    the others are idle. Upstreams that cannot fetch from each other are the harder case.
+    If its preferred upstream were left at once, the part would be read again at every upstream; if
+    it were never left, requests would wait while other upstreams are idle. The harder case is
+    tested: fetching is slow.
     """
     model.fetch = LinearModel(1.0, 1 / 50_000, 5000)
-    home = place(upstreams, long_prompt(), model, 0.0).upstream
-    home.note_prompt(long_prompt())
-    home.pending.add("a", 10_000, 0.0)
-    assert place(upstreams, long_prompt(), model, 0.0).upstream is home
-    home.pending.add("b", 40_000, 0.0)
-    assert place(upstreams, long_prompt(), model, 0.0).upstream is not home
+    preferred = place(upstreams, long_prompt(), model, 0.0).upstream
+    preferred.note_prompt(long_prompt())
+    preferred.pending.add("a", 10_000, 0.0)
+    assert place(upstreams, long_prompt(), model, 0.0).upstream is preferred
+    preferred.pending.add("b", 40_000, 0.0)
+    assert place(upstreams, long_prompt(), model, 0.0).upstream is not preferred
 
 
-def test_busy_home_hands_a_shared_part_to_another_upstream(upstreams, model):
-    """One shared part gets much of the traffic, and another upstream is idle.
+def test_shared_part_is_fetched_from_a_busy_preferred_upstream(upstreams, model):
+    """One shared part receives much of the traffic, and another upstream is idle.
 
-    Reading the part a second time would delay what runs there; fetched from home it is there in a
+    Reading the part again would delay the requests that run at the idle upstream; a fetch takes a
     few milliseconds, and the request meets its target.
     """
-    home = place(upstreams, long_prompt(), model, 0.0).upstream
-    home.note_prompt(long_prompt(0))
-    home.pending.add("a", 20_000, 0.0)
+    preferred = place(upstreams, long_prompt(), model, 0.0).upstream
+    preferred.note_prompt(long_prompt(0))
+    preferred.pending.add("a", 20_000, 0.0)
     placement = place(upstreams, long_prompt(3), model, 0.0)
-    assert placement.upstream is not home
-    assert placement.source is home
+    assert placement.upstream is not preferred
+    assert placement.source is preferred
     assert placement.fetched_tokens == 6000, "both shared parts"
     assert placement.tokens == 3000, "only the own part is read"
     assert placement.is_warm
 
 
-def test_nothing_is_fetched_from_an_upstream_that_has_not_read_it_yet(upstreams, model):
-    """A burst of requests with one shared part arrives before any of them is read.
+def test_part_is_not_fetched_from_an_upstream_that_has_not_read_it_yet(upstreams, model):
+    """A burst of requests with one shared part arrives before the part is read.
 
-    An upstream that was told to fetch the part found nothing to fetch and read all of it once more:
-    the engines read the same tokens two to four times, and everybody waited for that.
+    An upstream that was told to fetch the part found nothing to fetch and read all of it again: the
+    engines read the same tokens two to four times, which delayed all requests.
     """
-    home = place(upstreams, long_prompt(), model, 0.0).upstream
-    home.note_sent(long_prompt(0))
-    home.pending.add("a", 20_000, 0.0)
+    preferred = place(upstreams, long_prompt(), model, 0.0).upstream
+    preferred.note_sent(long_prompt(0))
+    preferred.pending.add("a", 20_000, 0.0)
     assert place(upstreams, long_prompt(3), model, 0.0).source is None
-    home.note_prompt(long_prompt(0))
-    assert place(upstreams, long_prompt(3), model, 0.0).source is home
+    preferred.note_prompt(long_prompt(0))
+    assert place(upstreams, long_prompt(3), model, 0.0).source is preferred
 
 
-def test_parts_of_requests_that_ended_before_they_were_read_are_not_in_memory(upstreams):
-    home = upstreams[0]
-    home.note_sent(long_prompt(0))
-    home.note_sent(long_prompt(1))
-    home.note_abandoned(long_prompt(0))
-    assert home.memory.missing(long_prompt(1)) == 0
-    home.note_abandoned(long_prompt(1))
-    assert home.memory.missing(long_prompt(1)) == long_prompt(1).tokens
+def test_parts_of_requests_that_ended_before_they_were_read_are_not_cached(upstreams):
+    preferred = upstreams[0]
+    preferred.note_sent(long_prompt(0))
+    preferred.note_sent(long_prompt(1))
+    preferred.note_abandoned(long_prompt(0))
+    assert preferred.memory.missing(long_prompt(1)) == 0
+    preferred.note_abandoned(long_prompt(1))
+    assert preferred.memory.missing(long_prompt(1)) == long_prompt(1).tokens
 
 
 def test_parts_that_were_read_stay_when_a_later_request_is_abandoned(upstreams):
-    home = upstreams[0]
-    home.note_prompt(long_prompt(0))
-    home.note_sent(long_prompt(0))
-    home.note_abandoned(long_prompt(0))
-    assert home.memory.unread(long_prompt(0)) == 0
+    preferred = upstreams[0]
+    preferred.note_prompt(long_prompt(0))
+    preferred.note_sent(long_prompt(0))
+    preferred.note_abandoned(long_prompt(0))
+    assert preferred.memory.unread(long_prompt(0)) == 0
 
 
 @pytest.mark.parametrize("lost", ["gone", "silent"])
-def test_nothing_is_fetched_from_an_upstream_that_does_not_answer(upstreams, model, lost):
-    """The only upstream that has a part goes down.
+def test_part_is_not_fetched_from_an_unreachable_upstream(upstreams, model, lost):
+    """The only upstream that holds a part goes down.
 
-    A request that is told to fetch from there waits for nothing and then reads all the same.
+    A request that is to fetch the part from there waits for nothing and then reads it all the same.
     """
-    home = place(upstreams, long_prompt(), model, 0.0).upstream
-    home.note_prompt(long_prompt(0))
+    preferred = place(upstreams, long_prompt(), model, 0.0).upstream
+    preferred.note_prompt(long_prompt(0))
     if lost == "gone":
-        home.gone = True
+        preferred.gone = True
     else:
-        home.health.note_unreachable(0.0)
+        preferred.health.note_unreachable(0.0)
     placement = place(upstreams, long_prompt(3), model, 0.0)
-    assert placement.upstream is not home
+    assert placement.upstream is not preferred
     assert placement.source is None
     assert placement.tokens == 9000
 
 
-def test_a_leaving_upstream_hands_out_what_it_has(upstreams, model, make_upstream):
-    """An upstream is emptied before it is taken away, and its parts would all be read anew."""
-    home = place(upstreams, long_prompt(), model, 0.0).upstream
-    home.note_prompt(long_prompt(0))
-    home.entry = attrs.evolve(home.entry, leaving=True)
+def test_part_is_fetched_from_a_draining_upstream(upstreams, model, make_upstream):
+    """If a draining upstream served no fetches, its parts would all have to be read again."""
+    preferred = place(upstreams, long_prompt(), model, 0.0).upstream
+    preferred.note_prompt(long_prompt(0))
+    preferred.entry = attrs.evolve(preferred.entry, leaving=True)
     placement = place(upstreams, long_prompt(3), model, 0.0)
-    assert placement.upstream is not home
-    assert placement.source is home
+    assert placement.upstream is not preferred
+    assert placement.source is preferred
 
 
-def test_fetching_that_does_not_pay_ends(upstreams, model):
-    """The upstreams of a service do not know how to fetch, or the way between them is slow.
+def test_fetching_ends_when_it_is_slower_than_reading(upstreams, model):
+    """The upstreams of a service do not support fetches, or the link between them is slow.
 
-    Each request that is told to fetch then reads all the same; nobody would notice but by first
-    tokens that come late again and again.
+    Each request that is to fetch then reads all the same, and its first token is late every time.
+    Only the model can detect this.
     """
-    home = place(upstreams, long_prompt(), model, 0.0).upstream
-    home.note_prompt(long_prompt(0))
-    home.pending.add("a", 20_000, 0.0)
+    preferred = place(upstreams, long_prompt(), model, 0.0).upstream
+    preferred.note_prompt(long_prompt(0))
+    preferred.pending.add("a", 20_000, 0.0)
     for _ in range(40):
         placement = place(upstreams, long_prompt(3), model, 0.0)
         if placement.source is None:
@@ -168,59 +171,59 @@
     assert placement.source is None
 
 
-def test_figures_of_peers_count_and_lapse(upstreams, model):
+def test_loads_of_peers_count_and_expire(upstreams, model):
     """Other processes send to the upstreams as well.
 
-    A process that looked at its own requests alone would send to one that is full.
+    A process that considered only its own requests would send to a full upstream.
     """
-    home = place(upstreams, short_prompt(), model, 0.0).upstream
-    home.pending.hear("peer", LoadShare(50_000, 9), 0.0)
-    assert place(upstreams, short_prompt(), model, 0.1).upstream is not home
-    assert place(upstreams, short_prompt(), model, 5.0).upstream is home
+    preferred = place(upstreams, short_prompt(), model, 0.0).upstream
+    preferred.pending.hear("peer", LoadShare(50_000, 9), 0.0)
+    assert place(upstreams, short_prompt(), model, 0.1).upstream is not preferred
+    assert place(upstreams, short_prompt(), model, 5.0).upstream is preferred
 
 
-def test_upstream_that_does_not_answer_is_avoided(upstreams, model):
-    """An upstream hangs: its first tokens do not come.
+def test_upstream_with_an_old_unanswered_request_is_avoided(upstreams, model):
+    """An upstream hangs: its first tokens do not arrive.
 
-    Without the age of what waits there it would look idle.
+    Without the age of its pending requests it would appear idle.
     """
-    home = place(upstreams, short_prompt(), model, 0.0).upstream
-    home.pending.add("a", 100, 0.0)
-    assert place(upstreams, short_prompt(), model, 2.0).upstream is not home
+    preferred = place(upstreams, short_prompt(), model, 0.0).upstream
+    preferred.pending.add("a", 100, 0.0)
+    assert place(upstreams, short_prompt(), model, 2.0).upstream is not preferred
 
 
-def test_slow_upstream_gets_less_and_is_tried_again(upstreams, model):
-    home = place(upstreams, short_prompt(), model, 0.0).upstream
+def test_slow_upstream_is_avoided_and_retried(upstreams, model):
+    preferred = place(upstreams, short_prompt(), model, 0.0).upstream
     for _ in range(20):
-        home.reading.learn(6.0, 0.0)
-    assert place(upstreams, short_prompt(), model, 0.1).upstream is not home
-    assert home.reading.value(60.0) < 1.1
+        preferred.reading.learn(6.0, 0.0)
+    assert place(upstreams, short_prompt(), model, 0.1).upstream is not preferred
+    assert preferred.reading.value(60.0) < 1.1
 
 
-def test_long_answers_avoid_upstreams_that_write_slowly(upstreams, model):
-    """Many answers run at the home of a part while another upstream has few.
+def test_long_answers_avoid_upstreams_with_many_running_requests(upstreams, model):
+    """Many answers run at the preferred upstream of a part while another upstream has few.
 
-    A long answer begun at home is written too slowly and does not end in time.
+    A long answer at the preferred upstream would be too slow to end in time.
     """
-    home = place(upstreams, short_prompt(), model, 0.0).upstream
-    home.outstanding = 60
-    assert place(upstreams, short_prompt(), model, 0.0).upstream is not home
+    preferred = place(upstreams, short_prompt(), model, 0.0).upstream
+    preferred.outstanding = 60
+    assert place(upstreams, short_prompt(), model, 0.0).upstream is not preferred
 
 
 def test_upstream_without_a_free_place_is_avoided(upstreams, model):
-    """All places of the home of a part are taken.
+    """All places of the preferred upstream of a part are taken.
 
-    A request sent there waits until one of the answers ends.
+    A request that is sent there waits until one of the answers ends.
     """
-    home = place(upstreams, short_prompt(), model, 0.0).upstream
+    preferred = place(upstreams, short_prompt(), model, 0.0).upstream
     for upstream in upstreams:
         upstream.outstanding = 7
-    assert place(upstreams, short_prompt(), model, 0.0).upstream is home
-    home.outstanding = 8
-    assert place(upstreams, short_prompt(), model, 0.0).upstream is not home
+    assert place(upstreams, short_prompt(), model, 0.0).upstream is preferred
+    preferred.outstanding = 8
+    assert place(upstreams, short_prompt(), model, 0.0).upstream is not preferred
 
 
-def test_model_learns_the_pace_of_answers(make_upstream):
+def test_model_fits_the_pace_of_answers(make_upstream):
     model = EngineModel()
     upstream = make_upstream("a")
     for running in [2, 10, 40] * 50:
@@ -230,7 +233,7 @@
     assert model.answer_s(upstream, 306, 0.0) == pytest.approx(50 * 0.04, rel=0.1)
 
 
-def test_model_finds_rate_and_offset_and_one_outlier_changes_little():
+def test_linear_model_fits_slope_and_offset_and_caps_an_outlier():
     model = LinearModel(0.03, 1 / 50_000, 5000)
     rng = random.Random(3)
     for _ in range(200):
@@ -241,21 +244,21 @@
     assert model.predict(9000) == pytest.approx(0.18, rel=0.25)
 
 
-def test_urgent_short_prompts_pass_a_burst_of_long_ones(upstreams, model):
-    """Many long prompts come at once, and then a short urgent one.
+def test_urgent_short_prompt_starts_during_a_burst_of_long_ones(upstreams, model):
+    """Many long prompts arrive at once, and then a short urgent one.
 
-    Sent at once, the long ones fill every upstream for a second, and the urgent one waits behind
-    them.
+    If the long ones were all sent at once, they would fill every upstream for a second, and the
+    urgent one would wait behind them.
     """
     queue = PromptQueue()
     for number in range(40):
-        queue.add(wait(long_prompt(number), 0.0, urgency=1, target_s=0.5))
+        queue.add(make_waiting(long_prompt(number), 0.0, urgency=1, target_s=0.5))
     started = []
     while (start := queue.take_start(upstreams, model, TARGETS, 0.0)) is not None:
         start.placement.upstream.pending.add(str(len(started)), start.placement.tokens, 0.0)
         started.append(start)
     assert len(started) == 4
-    queue.add(wait(short_prompt(), 0.01, urgency=0, target_s=0.25))
+    queue.add(make_waiting(short_prompt(), 0.01, urgency=0, target_s=0.25))
     urgent = queue.take_start(upstreams, model, TARGETS, 0.01)
     assert urgent.waiting.urgency == 0
     assert urgent.placement.first_token_s < 0.25
@@ -264,33 +267,36 @@
 def test_requests_that_can_still_be_in_time_go_before_late_ones(upstreams, model):
     """A burst has made some requests late.
 
-    Served first because they came first, they make the next ones late as well, and nobody is
-    served in time until the burst is over.
+    If they were served first in order of arrival, the next ones would be late as well, and none
+    would be in time until the end of the burst.
     """
     queue = PromptQueue()
-    queue.add(wait(long_prompt(1), 0.0, urgency=1, target_s=0.5))
-    queue.add(wait(long_prompt(2), 1.0, urgency=1, target_s=0.5))
+    queue.add(make_waiting(long_prompt(1), 0.0, urgency=1, target_s=0.5))
+    queue.add(make_waiting(long_prompt(2), 1.0, urgency=1, target_s=0.5))
     start = queue.take_start(upstreams, model, TARGETS, 1.0)
     assert start.waiting.demand.prompt.parts[-1][0] == "own-2" and not start.late
     late = queue.take_start(upstreams, model, TARGETS, 1.0)
     assert late.late
 
 
-def test_prompts_whose_parts_are_in_memory_go_before_those_that_are_read_anew(upstreams, model):
-    """An upstream was lost, and the parts that it had in memory are nowhere.
+def test_prompts_with_cached_parts_go_before_those_that_must_be_read(upstreams, model):
+    """An upstream was removed, and no other holds the parts that it had in memory.
 
-    Read in the order they came, they make even those late that would take a third of the time.
+    If prompts were read in order of arrival, those that need these parts would delay others that
+    take a third of the time.
     """
-    warm = upstreams[0]
-    warm.note_prompt(long_prompt(5))
+    cached = upstreams[0]
+    cached.note_prompt(long_prompt(5))
     queue = PromptQueue()
-    queue.add(wait(long_prompt(1), 0.0, urgency=1, target_s=0.5))
-    queue.add(wait(long_prompt(2), 0.01, urgency=1, target_s=0.5))
+    queue.add(make_waiting(long_prompt(1), 0.0, urgency=1, target_s=0.5))
+    queue.add(make_waiting(long_prompt(2), 0.01, urgency=1, target_s=0.5))
     start = queue.take_start(upstreams, model, TARGETS, 0.02)
-    assert start.waiting.demand.prompt.parts[-1][0] == "own-2" and start.placement.upstream is warm
+    assert (
+        start.waiting.demand.prompt.parts[-1][0] == "own-2" and start.placement.upstream is cached
+    )
 
 
-def test_part_stays_in_memory_until_others_have_pushed_it_out():
+def test_least_recently_used_part_is_evicted():
     memory = PromptMemory()
     memory.set_capacity(10_000)
     memory.note("a", 4000)
@@ -303,9 +309,9 @@
     assert memory.missing(Prompt((("a", 4000), ("new", 100)))) == 100
 
 
-def test_nothing_is_held_beyond_its_time(upstreams, model):
+def test_waiting_request_expires_at_its_time_limit(upstreams, model):
     queue = PromptQueue()
-    waiting = wait(long_prompt(), 0.0, urgency=1, target_s=0.5, hold_s=1.0)
+    waiting = make_waiting(long_prompt(), 0.0, urgency=1, target_s=0.5, hold_s=1.0)
     queue.add(waiting)
     assert queue.take_expired(0.9) == []
     assert queue.take_expired(1.0) == [waiting]
@@ -313,10 +319,11 @@
 
 
 def test_short_prompts_do_not_wait_behind_long_ones(upstreams, model):
-    """A burst of long prompts fills every upstream up to the window, at the same priority.
+    """A burst of long prompts of the same priority fills every upstream up to the window.
 
     A short prompt is read in a tenth of the tightest target and overtakes the long ones at the
-    upstream. Held here until the window has room, most short ones miss their target.
+    upstream. If short prompts waited in the queue until the window has room, most would miss their
+    target.
     """
     queue = PromptQueue()
     for upstream in upstreams:
@@ -333,9 +340,10 @@
 
 
 def test_short_prompts_wait_where_all_places_are_taken(upstreams, model):
-    """So many short prompts come that every place of every upstream is taken.
+    """So many short prompts arrive that every place of every upstream is taken.
 
-    Sent at once they would gather in the queue of one upstream, away from the next free place.
+    If they were sent at once, they would queue at one upstream and miss the next free place at
+    another one.
     """
     queue = PromptQueue()
     for upstream in upstreams:
@@ -347,8 +355,8 @@
     assert queue.take_start(upstreams, model, TARGETS, 0.0).placement.upstream is upstreams[2]
 
 
-def test_first_tokens_of_short_prompts_are_learned_apart(upstreams, model):
-    """Short prompts overtake what waits; among the others they would make reading look fast."""
+def test_first_tokens_of_short_prompts_have_a_separate_model(upstreams, model):
+    """Short prompts overtake others; in the common model they would make reading look fast."""
     before = model.first_token.predict(10_000)
     for _ in range(60):
         model.learn_first_token(upstreams[0], 0, 700, 0.04, 0.0, is_short=True)
@@ -356,27 +364,28 @@
     assert model.first_token_s(upstreams[1], 700, 0.0, is_short=True) == pytest.approx(0.04, 0.2)
 
 
-def test_long_prompts_avoid_upstreams_that_write_many_answers(upstreams, model):
-    """One upstream writes many long answers when a long prompt comes.
+def test_long_prompts_avoid_upstreams_with_many_running_answers(upstreams, model):
+    """One upstream generates many long answers when a long prompt arrives.
 
-    Read there, the prompt slows all of them down at once, and the longest run out of time.
+    If the prompt were read there, it would slow down all answers at once, and the longest would
+    exceed their time limits.
     """
-    home = place(upstreams, long_prompt(), model, 0.0).upstream
+    preferred = place(upstreams, long_prompt(), model, 0.0).upstream
     for upstream in upstreams:
         upstream.note_prompt(Prompt(long_prompt().parts[:2]))
         upstream.outstanding = 4
-    home.outstanding = 30
+    preferred.outstanding = 30
     model.event = LinearModel(0.03, 0.0, 20)
     placement = place(upstreams, long_prompt(), model, 0.0)
-    assert placement.upstream is not home
-    assert placement.first_token_s == place([home], long_prompt(), model, 0.0).first_token_s
+    assert placement.upstream is not preferred
+    assert placement.first_token_s == place([preferred], long_prompt(), model, 0.0).first_token_s
 
 
-def test_late_work_starts_only_where_next_to_nothing_is_read(upstreams, model):
+def test_late_requests_start_only_at_upstreams_with_almost_no_backlog(upstreams, model):
     """Many prompts have missed their targets in a burst.
 
-    Started whenever the window has room, they keep every upstream reading all the time, and answers
-    that run there are cut at their time limits.
+    If they were started whenever the window has room, every upstream would read all the time, and
+    the answers that run there would be cut off at their time limits.
     """
     queue = PromptQueue()
     late = WaitingPrompt(Demand(long_prompt(), 0.5, 5.0, 0.025), 1, -1.0, 1.5, ())
@@ -384,49 +393,52 @@
     for upstream in upstreams:
         upstream.pending.add("others", 2_500, 0.0)
     assert queue.take_start(upstreams, model, TARGETS, 0.0) is None
-    home = place(upstreams, long_prompt(), model, 0.0).upstream
-    home.pending.remove("others")
-    assert queue.take_start(upstreams, model, TARGETS, 0.0).placement.upstream is home
+    preferred = place(upstreams, long_prompt(), model, 0.0).upstream
+    preferred.pending.remove("others")
+    assert queue.take_start(upstreams, model, TARGETS, 0.0).placement.upstream is preferred
 
 
-def test_request_that_is_late_behind_what_others_read_starts_last(upstreams, model):
+def test_request_that_is_late_behind_the_backlog_starts_last(upstreams, model):
     """A burst has filled the upstreams, and the request that is due first has little time left.
 
-    Behind what is read there its first token comes too late. Started first, it takes the time in
-    which the next one would have been in time: half of the long prompts that engines read in a
-    burst were late, and as many others were refused meanwhile.
+    Its first token would be late because of the backlog. If it were started first, it would take
+    the time in which the next one could be in time: half of the long prompts that engines read in a
+    burst were late, and as many others were rejected meanwhile.
     """
     queue = PromptQueue()
     for upstream in upstreams:
         upstream.note_prompt(Prompt(long_prompt().parts[:2]))
         upstream.pending.add("others", 7000, 0.0)
-    hurried, patient = wait(long_prompt(), 0.0, 1, 0.19), wait(long_prompt(3), 0.0, 1, 0.25)
-    queue.add(hurried)
-    queue.add(patient)
+    tight_target, loose_target = make_waiting(long_prompt(), 0.0, 1, 0.19), make_waiting(
+        long_prompt(3), 0.0, 1, 0.25
+    )
+    queue.add(tight_target)
+    queue.add(loose_target)
     starts = [start.waiting for start in queue.take_starts(upstreams, model, TARGETS, 0.0)]
-    assert starts == [patient, hurried]
+    assert starts == [loose_target, tight_target]
 
 
-def test_each_waiting_request_is_placed_once_a_look_unless_something_started(
+def test_each_waiting_request_is_placed_once_per_round_unless_another_started(
     make_upstream, model, monkeypatch
 ):
-    """Twenty requests wait before 26 upstreams, and five of them may start.
+    """Twenty requests wait for 26 upstreams, and five of them may start.
 
-    Placed all anew after each start, and weighed at every upstream, they took a slow process tens
-    of milliseconds at each look, and callers that had left were noticed a second later.
+    When all were placed again after each start, and evaluated at every upstream, a round took a
+    slow process tens of milliseconds, and callers that had disconnected were noticed a second
+    later.
     """
     upstreams = [make_upstream(f"u{number}") for number in range(26)]
-    weighed = []
+    evaluated = []
     estimate = _placing._estimate
 
     def count(upstream, *details):
-        weighed.append(upstream)
+        evaluated.append(upstream)
         return estimate(upstream, *details)
 
     monkeypatch.setattr(_placing, "_estimate", count)
     queue = PromptQueue()
     for number in range(20):
-        queue.add(wait(long_prompt(number), 0.0, 1, 9.0))
+        queue.add(make_waiting(long_prompt(number), 0.0, 1, 9.0))
     starts = 0
     for start in queue.take_starts(upstreams, model, ServiceTargets(0.3, 0), 0.0):
         start.placement.upstream.pending.add(str(starts), 100_000, 0.0)
@@ -434,17 +446,17 @@
         if starts == 5:
             break
     assert starts == 5
-    assert len(weighed) <= (20 + 5 * 20) * (
+    assert len(evaluated) <= (20 + 5 * 20) * (
         _placing.PREFERRED_CANDIDATES + _placing.HOLDER_CANDIDATES
     )
-    assert len(set(map(id, weighed))) > 1
+    assert len(set(map(id, evaluated))) > 1
 
 
-def test_what_every_prompt_takes_does_not_count_as_reading(upstreams):
-    """The first event of an answer holds several tokens and takes a tenth of a second to write.
+def test_fixed_time_of_each_prompt_does_not_count_as_reading(upstreams):
+    """The first event of an answer holds several tokens and takes a tenth of a second to generate.
 
-    Counted as reading, it made prompts look two and a half times as long, and they waited here
-    while engines had time: 193 long prompts of a day were late in place of 114.
+    When this counted as reading, prompts seemed two and a half times as long, and they waited in
+    the queue while engines had time: 193 long prompts of a day were late instead of 114.
     """
     model = EngineModel()
     rng = random.Random(5)
@@ -455,8 +467,8 @@
 
 
 @pytest.fixture
-def overrun_model(upstreams):
-    """A model that has seen the first tokens of a burst, most of which waited long for a place."""
+def overloaded_model(upstreams):
+    """A model of the first tokens of a burst, most of which waited long for a place."""
     model = EngineModel()
     rng = random.Random(3)
     for number in range(400):
@@ -468,14 +480,14 @@
     return model
 
 
-def test_waits_of_a_burst_do_not_make_reading_seem_free(overrun_model, upstreams):
-    """More prompts come than the engines read, and each waits seconds for a place there.
+def test_waits_of_a_burst_do_not_make_reading_seem_free(overloaded_model, upstreams):
+    """More prompts arrive than the engines can read, and each waits seconds for a place there.
 
-    The time to the first token then hardly depends on the tokens. A line through all of it was
-    flat: reading seemed to take no time, prompts of 11,526 tokens counted as short and went before
-    all others, and every process sent all it had at once. Engines with 64 places ran 118 requests;
-    of 13,355 sends 3,754 came back, and a third of the streams were not finished in time.
+    The time to the first token then hardly depends on the tokens, and a line fitted to all of it
+    was flat: reading seemed to take no time, prompts of 11,526 tokens counted as short and overtook
+    all others, and every process sent all its prompts at once. Engines with 64 places ran 118
+    requests; of 13,355 sends 3,754 were returned, and a third of the streams did not end in time.
     """
     read_s = 4000 / 50_000
     long_after = 1000.0
-    assert read_s / 2 <= overrun_model.reading_s(upstreams[0], 4000, long_after) <= read_s * 2
+    assert read_s / 2 <= overloaded_model.reading_s(upstreams[0], 4000, long_after) <= read_s * 2
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_retry_after.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When refused callers are told to come back."""
+"""Time after which rejected callers retry."""
 
 import random
 
@@ -7,10 +7,11 @@
 from burdockquay_coordination.forwarding import OtherProcesses, return_after_s
 
 
-def test_what_another_process_says_lapses():
-    """A process is cut off from the others right after it said that it can serve.
+def test_status_of_another_process_expires():
+    """A process is cut off from the others just after it reported that it can serve.
 
-    Referred there for ever, callers would use up their repeats at processes that refuse them too.
+    If callers were still referred there, they would use up their retries at processes that reject
+    them too.
     """
     others = OtherProcesses()
     assert not others.can_serve(0.0)
@@ -24,10 +25,10 @@
 
 
 @pytest.mark.parametrize("patience_s", [None, 0.0, 0.01, 1.0, 12.0])
-def test_callers_come_back_within_a_third_of_their_patience_and_spread(patience_s):
-    """Many patient callers are refused at the same moment.
+def test_retries_are_spread_and_within_a_third_of_the_patience(patience_s):
+    """Many patient callers are rejected at the same moment.
 
-    With the same time for all of them they come back together and are refused once more.
+    With the same delay for all of them they would retry together and be rejected again.
     """
     rng = random.Random(1)
     longest = 2.0 if patience_s is None else patience_s / 3
@@ -36,6 +37,6 @@
     assert len(times) > 40 or patience_s == 0.0
 
 
-def test_referred_callers_come_back_almost_at_once():
+def test_referred_callers_retry_almost_at_once():
     rng = random.Random(1)
     assert all(return_after_s(12.0, True, rng) <= 0.05 for _ in range(50))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
@@ -1,4 +1,4 @@
-"""Upstreams that many processes find to be failing."""
+"""Detection of failing upstreams by many processes together."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 PROCESSES = 40
 UPSTREAMS = 20
-BAD = {f"u{number}" for number in range(5)}
+FAILING = {f"u{number}" for number in range(5)}
 TICK_S = 0.04
 REQUESTS_PER_TICK = 12
 DURATION_S = 6.0
@@ -28,9 +28,9 @@
     Parameters
     ----------
     shares : bool
-        Whether the processes tell each other how their requests end, a tick later.
+        Whether the processes send each other the outcomes of their requests, a tick later.
     unreachable : bool
-        Whether the bad upstreams refuse connections; otherwise they reset what was sent.
+        Whether the failing upstreams refuse connections; otherwise they reset requests.
     seed : int
     """
 
@@ -45,34 +45,34 @@
         for book in self.books:
             book.apply(UpstreamChanges(True, listed), 0.0)
 
-    def play(self):
-        """Return how many requests failed in all."""
+    def run(self):
+        """Return the total number of failed requests."""
         failed = 0
         for tick in range(round(DURATION_S / TICK_S)):
             now = 10.0 + tick * TICK_S
             failed += sum(self._send(now) for _ in range(REQUESTS_PER_TICK))
-            self._tell(now)
+            self._exchange_outcomes(now)
         return failed
 
     def _send(self, now):
         book = self.rng.choice(self.books)
         upstream = choose_upstream(book.of_service("s"), "a", (), now, self.rng)
-        if upstream.id not in BAD:
+        if upstream.id not in FAILING:
             upstream.health.note_success(now)
         elif self.unreachable:
             upstream.health.note_unreachable(now)
         else:
             upstream.health.note_failure(now)
-        return upstream.id in BAD
+        return upstream.id in FAILING
 
-    def _tell(self, now):
+    def _exchange_outcomes(self, now):
         for number, book in enumerate(self.books):
-            told = {
+            sent = {
                 upstream.id: outcomes
                 for upstream in book.all()
                 if (outcomes := upstream.health.take_untold_outcomes()) is not None
             }
-            self.ledger.hear(str(number), told, is_near=True)
+            self.ledger.hear(str(number), sent, is_near=True)
         for number, book in enumerate(self.books):
             for id_, outcomes in self.ledger.take(str(number)).items():
                 if self.shares:
@@ -81,29 +81,29 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("unreachable", [False, True], ids=["reset", "refused"])
-def test_processes_find_failing_upstreams_together(unreachable, seed):
-    """Five of twenty upstreams go down at one moment, or answer health checks and reset requests.
+def test_processes_detect_failing_upstreams_together(unreachable, seed):
+    """Five of twenty upstreams go down at once, or answer health checks and reset requests.
 
-    Each of forty processes had to fail at each of them some times before it avoided it, and again
-    after each pause: most requests of these seconds were lost or sent again.
+    Each of forty processes had to fail several times at each of them before it avoided it, and
+    again after each suspension: most requests of these seconds were lost or retried.
     """
-    alone = Fleet(False, unreachable, seed).play()
-    together = Fleet(True, unreachable, seed).play()
+    alone = Fleet(False, unreachable, seed).run()
+    together = Fleet(True, unreachable, seed).run()
     assert alone > 300
     assert together < alone / 3
 
 
-def test_one_process_that_reaches_nothing_takes_no_upstream_out_of_use(make_upstream):
-    """A process whose own link is down tells that it cannot reach an upstream, more than once."""
+def test_one_process_without_a_link_does_not_suspend_an_upstream(make_upstream):
+    """A process whose own link is down reports an upstream as unreachable, more than once."""
     cut, other = make_upstream("a"), make_upstream("a")
     for now in (0.0, 0.1, 0.6, 0.7):
         cut.health.note_unreachable(now)
-        told = cut.health.take_untold_outcomes()
-        other.health.hear_outcomes(told, now)
+        sent = cut.health.take_untold_outcomes()
+        other.health.hear_outcomes(sent, now)
         assert not other.health.suspended(now)
 
 
-def test_answer_shows_that_an_upstream_is_well_whatever_others_say(make_upstream):
+def test_answer_ends_a_suspension_by_peer_reports(make_upstream):
     upstream = make_upstream("a")
     upstream.health.hear_outcomes(Outcomes(failed=2, unreachable=2), 0.0)
     assert upstream.health.suspended(0.1)
@@ -111,18 +111,18 @@
     assert not upstream.health.suspended(0.2)
 
 
-def test_few_failures_among_many_answers_do_not_make_an_upstream_suspect(make_upstream):
-    """All processes together see a few failures of a sound upstream every second."""
+def test_few_failures_among_many_answers_do_not_degrade_an_upstream(make_upstream):
+    """All processes together see a few failures of a healthy upstream every second."""
     upstream = make_upstream("a")
     for number in range(200):
         upstream.health.hear_outcomes(Outcomes(whole=18, failed=2), 0.1 * number)
         assert not upstream.health.is_grey(0.1 * number)
 
 
-def test_processes_return_to_an_upstream_one_after_the_other():
-    """An upstream that all have heard of as failing is tried again.
+def test_processes_retry_an_upstream_at_different_times():
+    """An upstream that all processes consider degraded is tried again.
 
-    Were all to try at one moment, as many requests would fail as without a word.
+    If all retried it at the same moment, as many requests would fail as without shared outcomes.
     """
     rng = random.Random(1)
     books = [UpstreamBook(rng) for _ in range(20)]
@@ -136,7 +136,7 @@
     assert max(returned) < 40
 
 
-def test_relay_tells_outcomes_of_its_domain_to_the_others_once():
+def test_relay_sends_outcomes_of_its_domain_once():
     ledger = OutcomeLedger()
     ledger.set_targets(near=["near"], far=["far"])
     ledger.hear("me", {"u": Outcomes(failed=1)}, is_near=True)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_steady_reservation.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_steady_reservation.py
@@ -1,4 +1,4 @@
-"""Upstreams that are set apart for streams that must be written steadily."""
+"""Reservation of upstreams for steady streams."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 )
 
 LIMIT_S = 0.15
-SLOW_S, QUICK_S = 0.3, 0.05
+LONG_PAUSE_S, SHORT_PAUSE_S = 0.3, 0.05
 
 
 @pytest.fixture
@@ -20,115 +20,117 @@
     return [make_upstream(f"u{number}") for number in range(10)]
 
 
-def burst(guard, pauses=60, longest_s=SLOW_S):
-    """Play a burst of long prompts, a fifth of whose work is that of steady streams."""
+def record_burst(reservation, pauses=60, longest_s=LONG_PAUSE_S):
+    """Record a burst of long prompts in which a fifth of the work is that of steady streams."""
     for _ in range(pauses):
-        guard.note_demand(True, 1000, 150)
+        reservation.note_demand(True, 1000, 150)
         for _ in range(2):
-            guard.note_demand(False, 4000, 100)
-        guard.note_pause(longest_s, LIMIT_S)
+            reservation.note_demand(False, 4000, 100)
+        reservation.note_pause(longest_s, LIMIT_S)
 
 
-def steady(number=0):
+def steady_stream(number=0):
     prompt = Prompt(((f"small{number}", 300), (f"own{number}", 1000)), 150)
     return Demand(prompt, 1.0, 15.0, is_steady=True)
 
 
-def long(number=0):
+def long_prompt(number=0):
     prompt = Prompt(((f"large{number}", 13_000), (f"own{number}", 4000)), 100)
     return Demand(prompt, 2.0, 12.0)
 
 
-def place(upstreams, demand, guard, off=()):
+def place(upstreams, demand, reservation, off=()):
     model = EngineModel(Switches(off))
-    model.pace = guard
+    model.pace = reservation
     return place_prompt(upstreams, demand, model, (), 0.0).upstream.id
 
 
-def test_steady_streams_and_long_prompts_part_in_a_burst(upstreams):
+def test_steady_streams_and_long_prompts_use_different_upstreams_in_a_burst(upstreams):
     """Long prompts are read at every upstream, and each makes the answers beside it pause.
 
-    Two in five of the most urgent streams had a pause that their callers do not bear, wherever they
-    ran.
+    Two in five of the most urgent streams had a pause that their callers do not tolerate, at
+    whichever upstream they ran.
     """
-    guard = SteadyReservation()
-    burst(guard)
-    apart = guard.choose(upstreams)
-    assert len(apart) == 2
+    reservation = SteadyReservation()
+    record_burst(reservation)
+    reserved = reservation.choose(upstreams)
+    assert len(reserved) == 2
     for number in range(30):
-        assert place(upstreams, steady(number), guard) in apart
-        assert place(upstreams, long(number), guard) not in apart
+        assert place(upstreams, steady_stream(number), reservation) in reserved
+        assert place(upstreams, long_prompt(number), reservation) not in reserved
 
 
-def test_nothing_is_set_apart_while_all_are_written_steadily(upstreams):
-    guard = SteadyReservation()
-    burst(guard, longest_s=QUICK_S)
-    assert guard.choose(upstreams) == frozenset()
+def test_no_upstream_is_reserved_while_pauses_are_short(upstreams):
+    reservation = SteadyReservation()
+    record_burst(reservation, longest_s=SHORT_PAUSE_S)
+    assert reservation.choose(upstreams) == frozenset()
 
 
-def test_upstreams_go_back_when_the_burst_is_over(upstreams):
-    guard = SteadyReservation()
-    burst(guard)
-    assert guard.active
-    burst(guard, 100, QUICK_S)
-    assert not guard.active and guard.choose(upstreams) == frozenset()
+def test_reservation_ends_after_the_burst(upstreams):
+    reservation = SteadyReservation()
+    record_burst(reservation)
+    assert reservation.active
+    record_burst(reservation, 100, SHORT_PAUSE_S)
+    assert not reservation.active and reservation.choose(upstreams) == frozenset()
 
 
-def test_every_process_sets_the_same_upstreams_apart(upstreams):
+def test_every_process_reserves_the_same_upstreams(upstreams):
     first, second = SteadyReservation(), SteadyReservation()
-    burst(first)
-    burst(second, 90)
+    record_burst(first)
+    record_burst(second, 90)
     assert first.choose(upstreams) == second.choose(list(reversed(upstreams)))
 
 
-def test_steady_streams_go_elsewhere_when_what_is_set_apart_is_full(upstreams):
-    """Many steady streams come at once, beyond the places of the upstreams that are set apart.
+def test_steady_streams_use_other_upstreams_when_the_reserved_ones_are_full(upstreams):
+    """More steady streams arrive at once than the reserved upstreams have places.
 
-    Without a way out they would wait while other upstreams have places.
+    If they could use no others, they would wait while other upstreams have free places.
     """
-    guard = SteadyReservation()
-    burst(guard)
-    apart = guard.choose(upstreams)
+    reservation = SteadyReservation()
+    record_burst(reservation)
+    reserved = reservation.choose(upstreams)
     for item in upstreams:
-        if item.id in apart:
+        if item.id in reserved:
             item.outstanding = 8
             item.pending.add("other", 200_000, 0.0)
-    assert place(upstreams, steady(), guard) not in apart
+    assert place(upstreams, steady_stream(), reservation) not in reserved
 
 
-def test_few_upstreams_are_not_parted(make_upstream):
-    guard = SteadyReservation()
-    burst(guard)
-    assert guard.choose([make_upstream(name) for name in "abc"]) == frozenset()
+def test_nothing_is_reserved_among_few_upstreams(make_upstream):
+    reservation = SteadyReservation()
+    record_burst(reservation)
+    assert reservation.choose([make_upstream(name) for name in "abc"]) == frozenset()
 
 
 def test_mechanism_can_be_turned_off(upstreams):
-    guard = SteadyReservation()
-    burst(guard)
-    apart = guard.choose(upstreams)
-    placed = {place(upstreams, long(number), guard, ["set_apart"]) for number in range(60)}
-    assert placed & apart
+    reservation = SteadyReservation()
+    record_burst(reservation)
+    reserved = reservation.choose(upstreams)
+    placed = {
+        place(upstreams, long_prompt(number), reservation, ["set_apart"]) for number in range(60)
+    }
+    assert placed & reserved
 
 
-def test_upstreams_are_set_apart_when_steady_streams_alone_pause():
+def test_upstreams_are_reserved_when_only_steady_streams_pause():
     """Few requests run at once at an upstream, and each long prompt stops them for a moment.
 
-    The other streams bear that and show few pauses, so that nothing was set apart, while a quarter
-    of the steady streams were late by a single pause.
+    Other streams tolerate that and showed few pauses, so that no upstream was reserved, while a
+    quarter of the steady streams were late by a single pause.
     """
-    guard = SteadyReservation()
+    reservation = SteadyReservation()
     for number in range(40):
-        guard.note_demand(True, 1000, 150)
-        guard.note_demand(False, 4000, 100)
-        guard.note_pause(0.5 * LIMIT_S, LIMIT_S)
-        guard.note_pause(2 * LIMIT_S if number % 4 == 0 else 0.5 * LIMIT_S, LIMIT_S, True)
-    assert guard.active
+        reservation.note_demand(True, 1000, 150)
+        reservation.note_demand(False, 4000, 100)
+        reservation.note_pause(0.5 * LIMIT_S, LIMIT_S)
+        reservation.note_pause(2 * LIMIT_S if number % 4 == 0 else 0.5 * LIMIT_S, LIMIT_S, True)
+    assert reservation.active
     for _ in range(60):
-        guard.note_pause(0.5 * LIMIT_S, LIMIT_S, True)
-    assert not guard.active
+        reservation.note_pause(0.5 * LIMIT_S, LIMIT_S, True)
+    assert not reservation.active
 
 
-def test_single_late_steady_stream_sets_nothing_apart():
-    guard = SteadyReservation()
-    guard.note_pause(2 * LIMIT_S, LIMIT_S, True)
-    assert not guard.active
+def test_single_steady_stream_with_a_pause_reserves_nothing():
+    reservation = SteadyReservation()
+    reservation.note_pause(2 * LIMIT_S, LIMIT_S, True)
+    assert not reservation.active
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
@@ -1,4 +1,4 @@
-"""What holds of configuration and upstreams when the store comes back from a copy."""
+"""Configuration versions and upstreams when the store is restored from a copy."""
 
 import attrs
 import pytest
@@ -39,48 +39,48 @@
 
 @pytest.fixture
 def book():
-    """A book with one upstream that was read in the first era."""
+    """Return a registry with one upstream that was read in the first era."""
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry(1, 50, 5),)), 0.0)
     return book
 
 
-def test_word_with_a_lower_revision_counts_after_the_return(book):
-    """An upstream leaves; its revision has begun anew below the one that is known."""
+def test_entry_with_a_lower_revision_is_applied_after_a_restore(book):
+    """An upstream starts draining; its revisions began again below the one that is known."""
     book.apply(returned(entry(2, 20, 4)), RETURNED)
     book.apply(changed(entry(2, 30, 6, leaving=True)), RETURNED)
     assert takes_work(book) == []
 
 
 @pytest.mark.parametrize("sequence", [4, 6])
-def test_old_word_of_the_copy_does_not_take_a_leaving_upstream_back(book, sequence):
+def test_old_entry_of_the_copy_does_not_undo_draining(book, sequence):
     book.apply(changed(entry(1, 60, 6, leaving=True)), 90.0)
     book.apply(returned(entry(2, 50, sequence)), RETURNED)
     assert takes_work(book) == []
     book.apply(changed(entry(2, 70, 8)), RETURNED + 1)
-    assert takes_work(book) == ["a"], "its newer word counts"
+    assert takes_work(book) == ["a"], "its newer entry counts"
 
 
-def test_late_word_of_the_former_era_changes_nothing(book):
+def test_late_entry_of_the_former_era_is_ignored(book):
     book.apply(returned(entry(2, 20, 7, leaving=True)), RETURNED)
     book.apply(changed(entry(1, 90, 8)), RETURNED)
     assert takes_work(book) == []
 
 
-def test_row_that_cannot_be_read_after_the_return_holds_its_upstream_back(book):
+def test_upstream_with_an_unreadable_row_after_a_restore_gets_no_work(book):
     book.apply(returned(unreadable=(UnreadableEntry("a", 20, 2),)), RETURNED)
     assert takes_work(book) == []
 
 
-def test_former_run_of_the_copy_does_not_replace_the_present_one(book):
+def test_former_incarnation_in_the_copy_does_not_replace_the_present_one(book):
     book.apply(changed(entry(1, 60, 1, started_ms=2000)), 90.0)
     assert book.apply(returned(entry(2, 50, 9, started_ms=1000)), RETURNED) == []
     assert [item.incarnation for item in book.all()] == ["a@2000"]
 
 
 @pytest.fixture
-def gone():
-    """A book whose only upstream has left before the store came back."""
+def removed_book():
+    """Return a registry whose only upstream was removed before the store was restored."""
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry(1, 50, 5, started_ms=2000),)), 0.0)
     book.apply(UpstreamChanges(False, removed=("a",)), RETURNED - 5)
@@ -88,36 +88,36 @@
 
 
 @pytest.mark.parametrize(("sequence", "started_ms"), [(5, 2000), (4, 2000), (9, 1000)])
-def test_upstream_that_was_gone_gets_no_work_from_the_copy(gone, sequence, started_ms):
-    gone.apply(returned(entry(2, 40, sequence, started_ms=started_ms)), RETURNED)
-    assert takes_work(gone) == []
-    assert list(gone.withheld) == ["a"]
-    gone.apply(changed(removed=("a",)), RETURNED + 3)
-    gone.settle(RETURNED + WITHHOLD_S)
-    assert takes_work(gone) == []
+def test_removed_upstream_gets_no_work_from_the_copy(removed_book, sequence, started_ms):
+    removed_book.apply(returned(entry(2, 40, sequence, started_ms=started_ms)), RETURNED)
+    assert takes_work(removed_book) == []
+    assert list(removed_book.withheld) == ["a"]
+    removed_book.apply(changed(removed=("a",)), RETURNED + 3)
+    removed_book.settle(RETURNED + WITHHOLD_S)
+    assert takes_work(removed_book) == []
 
 
 @pytest.mark.parametrize(("sequence", "started_ms"), [(6, 2000), (1, 3000)])
-def test_upstream_that_was_gone_and_writes_again_gets_work(gone, sequence, started_ms):
-    gone.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    gone.apply(changed(entry(2, 70, sequence, started_ms=started_ms)), RETURNED + 1)
-    assert takes_work(gone) == ["a"]
-    assert list(gone.withheld) == []
+def test_removed_upstream_that_writes_again_gets_work(removed_book, sequence, started_ms):
+    removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
+    removed_book.apply(changed(entry(2, 70, sequence, started_ms=started_ms)), RETURNED + 1)
+    assert takes_work(removed_book) == ["a"]
+    assert list(removed_book.withheld) == []
 
 
-def test_upstream_that_the_platform_goes_on_to_list_gets_work_after_a_while(gone):
-    """It lives, and had no reason to write anything that its entry in the copy lacks."""
-    gone.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    gone.settle(RETURNED + WITHHOLD_S)
-    assert takes_work(gone) == ["a"]
+def test_removed_upstream_that_stays_listed_gets_work_after_a_while(removed_book):
+    """The upstream is alive and had no reason to write more than its entry in the copy holds."""
+    removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
+    removed_book.settle(RETURNED + WITHHOLD_S)
+    assert takes_work(removed_book) == ["a"]
 
 
-def test_upstream_that_was_gone_long_before_is_listed_at_once(gone):
-    gone.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RETURNED)
-    assert takes_work(gone) == ["a"], "in the same era the list says that it is back"
+def test_removed_upstream_listed_in_the_same_era_gets_work_at_once(removed_book):
+    removed_book.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RETURNED)
+    assert takes_work(removed_book) == ["a"], "in the same era a listed upstream is available"
     late = RETURNED + 2 * REMOVED_RETENTION_S
-    gone.apply(UpstreamChanges(False, removed=("a",)), late)
-    assert len(gone) == 0
+    removed_book.apply(UpstreamChanges(False, removed=("a",)), late)
+    assert len(removed_book) == 0
 
 
 def test_upstream_that_the_copy_lacks_is_kept_until_it_has_had_time_to_write(book):
@@ -127,11 +127,11 @@
     assert takes_work(book) == []
 
 
-def test_withheld_upstream_is_released_once(gone):
-    gone.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    gone.settle(RETURNED + WITHHOLD_S)
-    gone.apply(changed(attrs.evolve(entry(2, 90, 6, started_ms=2000))), RETURNED + 11)
-    assert len(gone.of_service("s")) == 1
+def test_withheld_upstream_is_released_once(removed_book):
+    removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
+    removed_book.settle(RETURNED + WITHHOLD_S)
+    removed_book.apply(changed(attrs.evolve(entry(2, 90, 6, started_ms=2000))), RETURNED + 11)
+    assert len(removed_book.of_service("s")) == 1
 
 
 def test_older_configuration_is_behind_until_the_newest_is_shown():
@@ -140,15 +140,15 @@
     standing.note_held(9, 1.0)
     standing.note_shown(7, 5.0)
     assert standing.is_behind and standing.behind_s(6.0) == 1.0
-    assert not standing.is_outdated(60.0), "this process acts on the newest one"
+    assert not standing.is_outdated(60.0), "this process acts on the newest configuration"
     standing.note_shown(8, 6.0)
     assert standing.is_behind
     standing.note_shown(9, 7.0)
     assert not standing.is_behind
 
 
-def test_process_that_hears_of_a_newer_configuration_has_a_moment_to_read_it():
-    """News of a configuration and the configuration itself come by different ways."""
+def test_process_has_time_to_read_a_newer_configuration():
+    """A configuration and the message that it is in force arrive by different paths."""
     standing = ConfigStanding()
     standing.note_shown(7, 1.0)
     standing.note_held(7, 1.0)
@@ -160,8 +160,8 @@
 
 
 @pytest.mark.parametrize("told_at", [0.5, 2.0])
-def test_process_that_starts_on_an_old_configuration_gets_no_such_moment(told_at):
-    """The store shows an older configuration than the others have in force, told before or after.
+def test_process_that_starts_with_an_old_configuration_gets_no_such_time(told_at):
+    """The store shows an older configuration than is in force; the message arrives before or after.
 
     For a second the process would honour keys that were withdrawn long before it started.
     """
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_upstreams.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_upstreams.py
@@ -23,19 +23,19 @@
     return sorted(item.id for item in book.of_service("s"))
 
 
-def test_vanished_entry_counts_at_once_on_a_calm_day():
+def test_unlisted_upstream_is_dropped_at_once_without_failures():
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
-    gone = book.of_service("s")[0]
+    unlisted = book.of_service("s")[0]
     book.apply(UpstreamChanges(False, removed=("a",)), 1.0)
     assert listed(book) == ["b"]
-    assert not gone.takes_work()
+    assert not unlisted.takes_work()
 
 
-def test_entries_that_vanish_in_trouble_and_come_back_are_never_dropped():
-    """The store is away and the entries of live upstreams lapse.
+def test_upstreams_unlisted_during_a_failure_and_listed_again_are_kept():
+    """The store is unavailable, and the entries of live upstreams expire.
 
-    Every request to the service would be refused for seconds.
+    If the upstreams were dropped, every request to the service would be rejected for seconds.
     """
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
@@ -47,14 +47,14 @@
     assert listed(book) == ["a"]
 
 
-def test_older_reading_of_an_entry_is_not_taken():
+def test_older_version_of_an_entry_is_ignored():
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a", 5, leaving=True),)), 0.0)
     book.apply(UpstreamChanges(False, (entry("a", 4),)), 1.0)
     assert not book.of_service("s")[0].takes_work()
 
 
-def test_unreachable_upstream_is_left_out_longer_each_time_and_comes_back(make_upstream):
+def test_unreachable_upstream_is_suspended_longer_each_time_and_recovers(make_upstream):
     upstream = make_upstream("a")
     upstream.health.note_unreachable(0.0)
     assert upstream.health.suspended(0.4) and not upstream.health.suspended(0.6)
@@ -64,27 +64,27 @@
     assert not upstream.health.suspended(1.6)
 
 
-def test_upstream_that_fails_many_requests_is_avoided_and_tried_again(make_upstream):
-    """An upstream fails half of its requests while its health page is good.
+def test_upstream_that_fails_many_requests_is_avoided_and_retried(make_upstream):
+    """An upstream fails half of its requests while its health check passes.
 
-    Half of its callers would get failures for as long as it lasts.
+    Half of its callers would get failures for as long as this lasts.
     """
-    grey, sound = make_upstream("a"), make_upstream("b")
+    degraded, healthy = make_upstream("a"), make_upstream("b")
     for _ in range(6):
-        grey.health.note_failure(1.0)
+        degraded.health.note_failure(1.0)
     rng = random.Random(1)
-    chosen = {choose_upstream([grey, sound], "a", (), 1.1, rng).id for _ in range(20)}
+    chosen = {choose_upstream([degraded, healthy], "a", (), 1.1, rng).id for _ in range(20)}
     assert chosen == {"b"}
-    assert not grey.health.is_grey(10.0)
+    assert not degraded.health.is_grey(10.0)
 
 
-def test_bad_upstreams_are_used_when_no_other_is_left(make_upstream):
+def test_unhealthy_upstream_is_used_when_no_other_is_left(make_upstream):
     only = make_upstream("a")
     only.health.note_unreachable(0.0)
     assert choose_upstream([only], "a", (), 0.1, random.Random(1)) is only
 
 
-def test_near_upstream_is_preferred_until_it_has_more_to_do(make_upstream):
+def test_upstream_of_the_same_domain_is_preferred_until_it_has_more_requests(make_upstream):
     near, far = make_upstream("near", "a"), make_upstream("far", "b")
     rng = random.Random(1)
     assert choose_upstream([far, near], "a", (), 0.0, rng) is near
@@ -92,10 +92,10 @@
     assert choose_upstream([far, near], "a", (), 0.0, rng) is far
 
 
-def test_only_requests_that_broke_at_an_upstream_that_is_down_are_suspected():
-    """A request breaks off at two upstreams, of which one went on serving.
+def test_only_requests_interrupted_at_a_crashed_upstream_are_suspected():
+    """A request is interrupted at two upstreams, one of which continues to serve.
 
-    A bystander of garbled answers would be refused for a minute.
+    If every interruption counted, a request that is not the cause would be rejected for a minute.
     """
     suspects = CrashSuspects()
     suspects.note_break("bystander", "a", 0.0)
@@ -109,17 +109,17 @@
     assert not suspects.is_refused("culprit", 70.0)
 
 
-def test_late_sign_of_a_crash_blames_nobody():
+def test_crash_detected_late_leads_to_no_suspicion():
     suspects = CrashSuspects()
     suspects.note_break("digest", "a", 0.0)
     assert suspects.note_down("a", 10.0) == []
 
 
-def test_upstream_that_started_again_under_its_id_is_known_anew():
-    """An upstream crashes and starts again under the id it had.
+def test_restarted_upstream_begins_without_state():
+    """An upstream crashes and restarts under the same id.
 
-    Its memory is empty and what ran there is lost, but requests would be sent there for the prompt
-    parts that it held, and count as running for ever.
+    Its memory is empty and its requests are lost. With the old state, requests would be sent there
+    for prompt parts that it held before, and the lost ones would count as running for ever.
     """
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a", 1, started_ms=100),)), 0.0)
@@ -136,10 +136,10 @@
 
 
 @pytest.mark.parametrize("revision", [1, 9])
-def test_late_news_of_a_former_incarnation_changes_nothing(revision):
-    """A write of the former incarnation is done after that of the present one.
+def test_late_update_of_a_former_incarnation_is_ignored(revision):
+    """A write of the former incarnation completes after one of the present incarnation.
 
-    The present upstream would be taken for the former one, which is down.
+    The present upstream would be mistaken for the former one, which is down.
     """
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a", 5, started_ms=200),)), 0.0)
@@ -149,7 +149,7 @@
     assert present.takes_work() and present.incarnation == "a@200"
 
 
-def test_entry_without_a_start_goes_on_with_the_known_incarnation():
+def test_entry_without_a_start_time_belongs_to_the_known_incarnation():
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a", 1, started_ms=100),)), 0.0)
     (known,) = book.of_service("s")
@@ -157,7 +157,7 @@
     assert book.of_service("s") == [known] and known.incarnation == "a@100"
 
 
-def test_first_start_that_an_entry_names_begins_a_new_incarnation():
+def test_first_start_time_of_an_entry_begins_a_new_incarnation():
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a", 1),)), 0.0)
     assert book.apply(UpstreamChanges(False, (entry("a", 2, started_ms=100),)), 1.0) == ["a"]
@@ -166,7 +166,7 @@
 def test_upstream_moves_to_the_service_that_its_entry_names():
     """The same id is listed under another service.
 
-    Requests of the former service would go on to it.
+    Requests of the former service would still be sent to it.
     """
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a"),)), 0.0)
@@ -176,10 +176,10 @@
     assert book.of_service("t") == []
 
 
-def test_entry_that_cannot_be_read_any_more_gets_no_work_until_it_can():
-    """Another writer overwrites the entry of an upstream with something else.
+def test_upstream_with_an_unreadable_entry_gets_no_work_until_it_is_readable():
+    """Another program overwrites the entry of an upstream with something else.
 
-    Requests would go to an address that may be of anything by now.
+    Requests would be sent to an address that may belong to something else by now.
     """
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
@@ -191,7 +191,7 @@
     assert sorted(item.id for item in book.of_service("s") if item.takes_work()) == ["a", "b"]
 
 
-def test_whole_reading_with_an_unreadable_entry_keeps_the_upstream_on_the_list():
+def test_full_list_with_an_unreadable_entry_keeps_its_upstream():
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
     book.apply(UpstreamChanges(True, (entry("b"),), unreadable=(UnreadableEntry("a", 3),)), 1.0)
@@ -199,9 +199,9 @@
 
 
 def test_request_that_crashes_an_upstream_twice_under_one_id_is_refused():
-    """A request crashes an upstream, which starts again under its id and runs the request again.
+    """A request crashes an upstream, which restarts under its id and runs the request again.
 
-    Counted by id that is one crash, and the request would take down one upstream after another.
+    Counted by id that is one crash, and the request would crash one upstream after another.
     """
     suspects = CrashSuspects()
     for incarnation in ("a@100", "a@200"):
@@ -210,10 +210,10 @@
     assert suspects.is_refused("culprit", 1.2)
 
 
-def test_memory_of_upstreams_is_as_large_as_the_configuration_says():
-    """Engines keep twice as much as a usual one.
+def test_memory_capacity_of_upstreams_is_taken_from_the_configuration():
+    """Engines keep twice as many tokens as by default.
 
-    Parts that are there would be taken for gone, and read again elsewhere.
+    Cached parts would be considered evicted, and read again elsewhere.
     """
     book = UpstreamBook()
     book.apply(UpstreamChanges(True, (entry("a"),)), 0.0)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_urgency.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""Levels of urgency for upstreams."""
+"""Urgency levels for upstreams."""
 
 import pytest
 from hypothesis import given
@@ -19,7 +19,7 @@
 
 
 @given(PRIORITIES, st.booleans())
-def test_levels_are_those_that_upstreams_know(priorities, is_short):
+def test_levels_are_within_the_range_of_upstreams(priorities, is_short):
     scale = UrgencyScale(priorities)
     assert all(0 <= scale.level(priority, is_short) <= 9 for priority in priorities)
 
@@ -43,6 +43,7 @@
 def test_a_new_priority_does_not_move_the_others():
     """A configuration with one more priority comes into force at one process after the other.
 
-    With levels by rank, requests of the same priority would meanwhile overtake each other.
+    If levels depended on the set of priorities, requests of the same priority would meanwhile
+    overtake each other.
     """
     assert UrgencyScale([1]).level(1, True) == UrgencyScale([0, 1, 3]).level(1, True)
