--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_load_relay.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_load_relay.py
@@ -196,9 +196,7 @@
     def compose_all(self, now: float) -> dict[str, LoadNews]:
         """Return the updates that are due now, by recipient."""
         for name in [
-            item
-            for item, previous in self._sources.items()
-            if now - previous.at > PEER_LOAD_EXPIRY_S
+            item for item, source in self._sources.items() if now - source.at > PEER_LOAD_EXPIRY_S
         ]:
             del self._sources[name]
         near = _sum_shares(item.shares for item in self._sources.values() if item.is_near)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
@@ -166,8 +166,8 @@
     def _record_outcome(self, failed: float, now: float) -> None:
         self._update_failure_share(failed, FAILURE_WEIGHT, 1.0, now)
 
-    def _update_failure_share(self, failed: float, weight: float, most: float, now: float) -> None:
+    def _update_failure_share(self, failed: float, weight: float, limit: float, now: float) -> None:
         known = self.failure_share(now)
-        self._failure_share = min(known + weight * (failed - known), max(most, known))
+        self._failure_share = min(known + weight * (failed - known), max(limit, known))
         self._seen_at = now
         self._was_degraded = self._failure_share > self._degraded_limit
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstreams.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstreams.py
@@ -218,8 +218,8 @@
         """
         self.gone = True
         self.ended = True
-        enders, self._run_cancellers = self._run_cancellers, set()
-        for end in enders:
+        cancellers, self._run_cancellers = self._run_cancellers, set()
+        for end in cancellers:
             end()
 
 
@@ -310,14 +310,16 @@
             Incarnations that have ended: their entries were deleted, or they restarted.
         """
         self.note_trouble(changes.troubled_at)
-        over = [self._upstreams[id_].incarnation for id_ in changes.removed if id_ in self]
+        ended_incarnations = [
+            self._upstreams[id_].incarnation for id_ in changes.removed if id_ in self
+        ]
         for unreadable in changes.unreadable:
             self._mark_leaving(unreadable)
         for entry in changes.listed:
             replaced = self._apply_entry(entry, now)
             if replaced is not None:
                 replaced.record_ended()
-                over.append(replaced.incarnation)
+                ended_incarnations.append(replaced.incarnation)
         removed: Iterable[str] = changes.removed
         if changes.whole:
             present = (*changes.listed, *changes.unreadable)
@@ -328,7 +330,7 @@
             if id_ in self._upstreams:
                 self._unlisted[id_] = None
         self.settle(now)
-        return over
+        return ended_incarnations
 
     def settle(self, now: float) -> None:
         """Drop unlisted upstreams once the list can be trusted, and release withheld ones."""
