--- /dev/null
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_retry_after.py
@@ -0,0 +1,66 @@
+"""Time after which a rejected caller should retry."""
+
+from __future__ import annotations
+
+import random
+
+RETRY_AFTER_SHARE = (0.10, 0.30)
+"""Share of the remaining patience after which a rejected caller should retry. Callers wait at most
+a third of it; the spread keeps them from retrying at the same time."""
+
+MAX_PATIENCE_S = 6.5
+"""Patience beyond which the delay does not grow, seconds, so that it is two seconds at most: most
+failures are over by then, and a caller that has to wait longer would rather give up. A limit on the
+delay itself would let all patient callers retry at the same moment."""
+
+REFERRAL_DELAY_S = (0.005, 0.05)
+"""Shortest and longest delay before a caller retries at another process, seconds: only a spread, as
+the other process can serve at once."""
+
+PEER_STATUS_EXPIRY_S = 2.5
+"""Age at which the status of another process is dropped, seconds. Each process sends its status
+every second."""
+
+
+class OtherProcesses:
+    """Status of the other processes: whether they can serve callers with API keys.
+
+    A process that cannot reach the platform rejects such callers. If others reach it, the next
+    process that a caller connects to serves it at once; if the caller was told to wait as in an
+    outage of the platform, it would get its answer two seconds late.
+    """
+
+    def __init__(self):
+        self._statuses: dict[str, tuple[bool, float]] = {}
+
+    def hear(self, peer: str, can_serve: bool, now: float) -> None:
+        """Record the status of a process."""
+        self._statuses[peer] = (can_serve, now)
+
+    def forget(self, peer: str) -> None:
+        """Remove a process that has disconnected."""
+        self._statuses.pop(peer, None)
+
+    def can_serve(self, now: float) -> bool:
+        """Return whether at least one other process can serve."""
+        return any(
+            can_serve_now and now - at <= PEER_STATUS_EXPIRY_S
+            for can_serve_now, at in self._statuses.values()
+        )
+
+
+def return_after_s(patience_s: float | None, is_referred: bool, rng: random.Random) -> float:
+    """Return the time after which a rejected caller should retry, seconds.
+
+    Parameters
+    ----------
+    patience_s : float or None
+        Time for which the caller still waits, seconds; None if unknown.
+    is_referred : bool
+        Whether another process can serve it now.
+    rng : random.Random
+    """
+    patience = MAX_PATIENCE_S if patience_s is None else min(max(0.0, patience_s), MAX_PATIENCE_S)
+    if is_referred:
+        return min(patience, rng.uniform(*REFERRAL_DELAY_S))
+    return patience * rng.uniform(*RETRY_AFTER_SHARE)
