--- a/packages/burdockquay-coordination/src/burdockquay_coordination/__init__.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/__init__.py
@@ -1,6 +1,7 @@
 """Decisions: queues, admission, placement, retries, health, membership, configuration.
 
-No sockets and no clock: the present time is an argument, randomness a parameter.
+This package opens no sockets and reads no clock: functions receive the current time and the
+random generator as arguments.
 """
 
 from burdockquay_state._lazy import lazy_exports
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_admission.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_admission.py
@@ -1,4 +1,4 @@
-"""Whether an entry takes a request or refuses it early."""
+"""Admission control: whether an entry accepts a request or rejects it early."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 from ._queues import QueuePolicy
 
 RATE_WINDOW_S = 5.0
-"""Time constant of the rate of starts of a class, seconds."""
+"""Time constant of the start rate of a class, seconds."""
 MIN_RETRY_AFTER_S = 0.1
-"""Smallest time that a refused caller is told to wait, seconds."""
+"""Smallest ``retry_after_s`` sent to a rejected caller, seconds."""
 BURST_S = 1.0
-"""How many seconds of its rate an organisation may send at once."""
+"""Burst that an organisation may send at once, in seconds of its rate."""
 
 
 class TokenBucket:
-    """Limits a rate and allows short bursts.
+    """Token bucket: limits a rate and allows short bursts.
 
     Parameters
     ----------
     rate : float
-        Tokens a second.
+        Tokens added per second.
     burst : float
-        Most tokens that are kept.
+        Capacity, tokens.
 
     Examples
     --------
@@ -46,12 +46,12 @@
         self._filled_at = -math.inf
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until a token is there."""
+        """Return the time until a token is available, seconds."""
         self._fill(now)
         return max(0.0, (1.0 - self._tokens) / self.rate)
 
     def take(self, now: float) -> bool:
-        """Take a token; False if there is none."""
+        """Take a token; return False if none is available."""
         self._fill(now)
         if self._tokens < 1.0:
             return False
@@ -66,7 +66,7 @@
 
 @attrs.define
 class _StartRate:
-    """Starts of one class since it last had an empty queue, decayed over time."""
+    """Exponentially decayed count of the starts of one class since its queue was last empty."""
 
     since: float
     counted: float = 0.0
@@ -92,18 +92,21 @@
 
 
 class AdmissionController:
-    """Refuses requests that exceed a limit or would wait longer than their class allows.
+    """Admission controller of an entry.
+
+    It rejects requests that exceed a limit or would wait longer than the patience of their class.
 
     Notes
     -----
-    The expected wait is the number of requests that would leave before the new one, divided by the
-    recent rate at which requests of the class start. The rate is counted from the time at which the
-    queue was last empty: an idle class has no rate, and its first burst must not be refused for it.
-    One start more than was seen is assumed, so that a class is admitted until there is evidence.
-
-    A lower class is served more slowly, so it is refused before a higher one. A protected class is
-    never refused by the estimate; only its organisation's limits and its patience in the queue end
-    its wait. Refusing it could make room for lower work only.
+    The expected wait is the number of requests that would be dispatched before the new one, divided
+    by the recent rate at which requests of the class start. The rate is measured from the time at
+    which the queue was last empty: an idle class has no rate, and its first burst must not be
+    rejected because of that. One more start than observed is assumed, so that a class is admitted
+    until there is evidence.
+
+    A lower class is served more slowly, so it is rejected before a higher one. A protected class is
+    never rejected because of the estimate; only its organisation's limits and its patience in the
+    queue apply. Rejecting it could free capacity for lower classes only.
     """
 
     def __init__(self) -> None:
@@ -122,7 +125,7 @@
         policy: PolicyRecord,
         now: float,
     ) -> None:
-        """Take new records; requests admitted before keep counting."""
+        """Apply new records; requests admitted earlier still count as outstanding."""
         self._classes = classes
         self._organisations = organisations
         self._weights = {name: item.weight for name, item in organisations.items()}
@@ -139,7 +142,7 @@
     def admit(
         self, organisation: str, class_name: str, queue: QueuePolicy, now: float
     ) -> Result[None, RequestError]:
-        """Take a request, or say why not and when to try again.
+        """Admit a request, or return why it is rejected and when to retry.
 
         Returns
         -------
@@ -161,16 +164,16 @@
         return Ok(None)
 
     def started(self, class_name: str, waited_s: float, now: float) -> None:
-        """Note that a request of the class was sent to a slot after waiting in the queue."""
+        """Record that a queued request of the class was sent to a slot."""
         rate = self._rates.setdefault(class_name, _StartRate(since=now - waited_s))
         rate.add(now)
 
     def charge(self, organisation: str, tokens: float, now: float) -> None:
-        """Note that tokens were generated for an organisation, in whatever class."""
+        """Record tokens generated for an organisation, in any class."""
         self._use.charge(organisation, tokens, now)
 
     def finished(self, organisation: str, class_name: str, now: float) -> None:
-        """Note that an admitted request has ended, however it did."""
+        """Record that an admitted request has ended, with any outcome."""
         account = self._accounts.get(organisation)
         if account is None:
             return
@@ -227,11 +230,11 @@
     def _over_share(
         self, organisation: str, class_name: str, queue: QueuePolicy, now: float
     ) -> RequestError | None:
-        """Refuse routine work of an organisation that takes far more than its weight gives it.
+        """Reject unprotected work of an organisation that uses far more than its weighted share.
 
-        Inside a class the queue divides by weight. But an organisation that floods a higher class
-        takes the places of all others' lower classes, and they would notice it by refusals. It is
-        refused only while others wait, so that no place stands empty for it.
+        Within a class the queue divides by weight. But an organisation that floods a higher class
+        takes the capacity of everyone else's lower classes, whose requests would then be rejected.
+        It is rejected only while other requests wait, so that no capacity is left idle.
         """
         record = self._classes.get(class_name)
         if record is None or record.protected or not self._shedding or not len(queue):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_contention.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_contention.py
@@ -1,4 +1,4 @@
-"""What waits for the places of a slot, and which class is served next."""
+"""Choice of the class that gets the next place of a slot."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from burdockquay_state import ClassRecord
 
-from ._demands import DemandBook
-from ._places import Hold, HoldState, PlaceTable
+from ._demands import DemandTracker
+from ._places import AcceptedAttempt, AttemptState, PlaceTable
 from ._shares import Contender, ShareLedger
 from ._slot_queue import SlotQueue
 
 
-class Source(enum.Enum):
-    """Where the next work of a class comes from; the first that has some is taken."""
+class WorkSource(enum.Enum):
+    """Where the next work of a class comes from, in order of preference."""
 
     PAUSED = "paused"
     QUEUE = "queue"
@@ -23,18 +23,18 @@
 
 
 class Contention:
-    """Joins paused requests, the slot's own queue and the demand of the entries.
+    """Combines paused requests, the slot's own queue and the demand of the entries.
 
     Parameters
     ----------
     places : PlaceTable
     queue : SlotQueue
-    demands : DemandBook
+    demands : DemandTracker
     ledger : ShareLedger
     """
 
     def __init__(
-        self, places: PlaceTable, queue: SlotQueue, demands: DemandBook, ledger: ShareLedger
+        self, places: PlaceTable, queue: SlotQueue, demands: DemandTracker, ledger: ShareLedger
     ):
         self.places = places
         self.queue = queue
@@ -43,12 +43,14 @@
 
     @property
     def classes(self) -> set[str]:
-        """Classes with paused, queued or announced requests."""
-        paused = {hold.work.class_name for hold in self.places.in_state(HoldState.PAUSED)}
+        """Classes with paused or queued requests, or demand at the entries."""
+        paused = {
+            accepted.work.class_name for accepted in self.places.in_state(AttemptState.PAUSED)
+        }
         return self.demands.classes | self.queue.classes | paused
 
     def contenders(self, now: float) -> list[Contender]:
-        """Return the classes that wait and have a place they may take."""
+        """Return the waiting classes for which a place is free."""
         return [
             self.contender(class_name, wait)
             for class_name, wait in self._waits(now).items()
@@ -60,8 +62,8 @@
 
         Notes
         -----
-        Requests that run side by side on an engine generate at the same pace. So a class that holds
-        its share of the places is on its way to its share of the tokens and claims no more.
+        Requests that run concurrently on an engine generate at the same rate. So a class that holds
+        its share of the places is approaching its share of the tokens and may not claim more.
         """
         allowed = math.ceil(self.ledger.record(class_name).share * self.places.places)
         below = self.places.occupied_by(class_name) < allowed
@@ -73,13 +75,13 @@
         Parameters
         ----------
         binding : str
-            Of the policy record.
+            Binding of the policy record.
 
         Notes
         -----
         With grants the slot's own queue holds only protected work that others were paused for. It
-        takes the place so freed before any turn or share is looked at: otherwise the place would go
-        to a lower class and one more request would be paused.
+        takes the freed place before turns and shares are considered: otherwise the place could go
+        to a lower class and one more request would have to be paused.
         """
         if binding == "grant":
             names = {contender.class_name for contender in contenders}
@@ -88,19 +90,19 @@
                     return record.name
         return self.queue.choose_class(contenders, self.ledger)
 
-    def source(self, class_name: str) -> Source:
-        """Return where the next work of a class that waits comes from."""
+    def source(self, class_name: str) -> WorkSource:
+        """Return where the next work of a waiting class comes from."""
         if self.paused(class_name):
-            return Source.PAUSED
-        return Source.QUEUE if self.queue.waiting(class_name) else Source.DEMAND
+            return WorkSource.PAUSED
+        return WorkSource.QUEUE if self.queue.waiting(class_name) else WorkSource.DEMAND
 
-    def paused(self, class_name: str) -> list[Hold]:
-        """Return the paused attempts of a class, the one paused first first."""
-        paused = self.places.in_state(HoldState.PAUSED)
-        return [hold for hold in paused if hold.work.class_name == class_name]
+    def paused(self, class_name: str) -> list[AcceptedAttempt]:
+        """Return the paused attempts of a class, in the order in which they were paused."""
+        paused = self.places.in_state(AttemptState.PAUSED)
+        return [accepted for accepted in paused if accepted.work.class_name == class_name]
 
     def protected_waiting(self) -> list[tuple[ClassRecord, int]]:
-        """Return the protected classes with queued work and how much, the most urgent first."""
+        """Return the protected classes with queued work and its count, by falling priority."""
         records = [record for record in self.ledger.classes.values() if record.protected]
         records.sort(key=lambda record: (-record.priority, record.name))
         counts = [(record, self.queue.waiting(record.name)) for record in records]
@@ -110,11 +112,11 @@
         return self.places.free_for(self.ledger.record(class_name), self.ledger.classes)
 
     def _waits(self, now: float) -> dict[str, float]:
-        """Return the longest wait of each class with paused, queued or announced requests."""
+        """Return the longest wait of each class that has paused, queued or entry demand."""
         waits = self.demands.oldest_waits(now)
         paused: dict[str, float] = {}
-        for hold in reversed(self.places.in_state(HoldState.PAUSED)):
-            paused[hold.work.class_name] = now - hold.since
+        for accepted in reversed(self.places.in_state(AttemptState.PAUSED)):
+            paused[accepted.work.class_name] = now - accepted.since
         for more in (self.queue.oldest_waits(now), paused):
             for class_name, wait in more.items():
                 waits[class_name] = max(wait, waits.get(class_name, 0.0))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_health.py
@@ -1,4 +1,4 @@
-"""Stragglers and failing upstreams, as an entry sees them, and the probe gate of a slot."""
+"""Detection of slow and failing upstreams by an entry, and the circuit breaker of a slot."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
 
 
 class HealthMonitor:
-    """Weighs each VM against the median of its peers, and ejects the worst.
+    """Compares each VM with the median of all VMs, and ejects the worst.
 
     Parameters
     ----------
     eject_ratio : float
-        A VM whose step time is this many times the median is ejected.
+        A VM is ejected if its step time is at least this multiple of the median.
     return_ratio : float
-        An ejected VM returns once its step time is below this many times the median.
+        An ejected VM is used again once its step time is below this multiple of the median.
     tolerated_ratio : float
-        Up to this ratio a VM has full weight.
+        Ratio to the median up to which a VM has full weight.
     eject_failures : float
-        Recent failures at which a VM is ejected.
+        Number of recent failures at which a VM is ejected.
     max_ejected_share : float
-        Largest part of the known VMs that is ejected at a time.
+        Largest fraction of the known VMs that is ejected at a time.
     failure_halflife_s : float
-        Time after which a failure counts half, seconds.
+        Half-life of the weight of a failure, seconds.
 
     Notes
     -----
-    An absolute limit on the step time would eject everyone when all are slow under load. Against
-    the median a VM stands out only if its peers do better. The weight of a slow VM falls with the
-    square of the ratio, since what it takes also stays longer with it.
+    An absolute limit on the step time would eject every VM when all are slow under load. Relative
+    to the median a VM stands out only if the others are faster. The weight of a slow VM falls with
+    the square of the ratio, since the requests sent to it also take longer there.
 
-    The bound on ejection holds whatever the figures say: if many look bad at once, the cause is
-    more likely shared, or here, and the rest could not carry the load.
+    The bound on ejection always applies: if many VMs seem bad at once, the cause is more likely
+    shared, or in this process, and the remaining VMs could not carry the load.
 
-    Step times come from the slot's status, which its own probes keep fresh while the VM has no
-    work. So users' requests are not needed to find out that it has recovered.
+    Step times come from the slot's status, which the slot's probes keep current while the VM has no
+    work. So no users' requests are needed to detect that it has recovered.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -81,11 +81,11 @@
         check_parameters(self)
         self._vms: dict[str, _Vm] = {}
         self._median: float | None = None
-        # One choice among many candidates asks for the ejected ones once for each candidate.
+        # Cached per time: one placement asks for the ejected VMs once for each candidate.
         self._ejected: tuple[float, frozenset[str]] | None = None
 
     def observe_step(self, vm: str, step_s: float, now: float) -> None:
-        """Take a time between tokens on a VM; 0 means unknown and is ignored."""
+        """Record a time between tokens on a VM; 0 means unknown and is ignored."""
         if step_s <= 0:
             return
         state = self._state(vm)
@@ -93,28 +93,29 @@
         state.step_s += gain * (step_s - state.step_s)
         state.steps += 1
         self._median = None
-        self._judge(state)
+        self._update_slow(state)
 
     def observe_failure(self, vm: str, now: float) -> None:
-        """Note that a request failed there by the VM's fault."""
+        """Record that a request failed because of the VM."""
         state = self._state(vm)
         state.failures = self._failures(state, now) + 1.0
         state.failed_at = now
 
     def observe_success(self, vm: str, now: float) -> None:
-        """Note that a request ended well there.
+        """Record that a request succeeded on the VM.
 
         Notes
         -----
-        It clears earlier failures, except those of a VM ejected for them: a request that was sent
-        before the trouble began may end well long after it and says nothing of the VM now.
+        A success clears earlier failures, except on a VM that is ejected because of them: a request
+        sent before the failures began may succeed long after, and is no evidence that the VM works
+        now.
         """
         state = self._state(vm)
         if self._failures(state, now) < self.eject_failures:
             state.failures = 0.0
 
     def weight(self, vm: str, now: float) -> float:
-        """Return from 0 (ejected) to 1 (as good as its peers)."""
+        """Return the weight of a VM, from 0 (ejected) to 1 (as good as the others)."""
         if vm in self.ejected(now):
             return 0.0
         state = self._vms.get(vm)
@@ -124,13 +125,13 @@
         return 1.0 / (ratio * ratio * (1.0 + self._failures(state, now)))
 
     def ejected(self, now: float) -> frozenset[str]:
-        """Return the VMs that should get no work, at most a bounded part of those known."""
+        """Return the VMs that should get no work, at most ``max_ejected_share`` of those known."""
         if self._ejected is None or self._ejected[0] != now:
             self._ejected = (now, self._find_ejected(now))
         return self._ejected[1]
 
     def forget(self, vm: str) -> None:
-        """Drop a VM that is gone."""
+        """Drop the state of a removed VM."""
         self._vms.pop(vm, None)
         self._ejected = None
         self._median = None
@@ -144,7 +145,7 @@
         return frozenset(vm for _, _, vm in sorted(bad)[: self._most_ejected()])
 
     def _state(self, vm: str) -> _Vm:
-        """Return the state of a VM that is about to change."""
+        """Return the state of a VM for a change, and invalidate the ejected VMs."""
         self._ejected = None
         return self._vms.setdefault(vm, _Vm())
 
@@ -156,20 +157,20 @@
         return state.failures * 0.5 ** (age / self.failure_halflife_s)
 
     def _ratio(self, state: _Vm) -> float:
-        """Return the step time over the median; 1 while either is unknown."""
+        """Return the ratio of the step time to the median; 1 while either is unknown."""
         if self._median is None:
             steps = [other.step_s for other in self._vms.values() if other.steps]
             self._median = statistics.median_low(steps) if len(steps) >= self._min_peers else 0.0
         known = self._median > 0 and state.steps >= self._min_steps
         return state.step_s / self._median if known else 1.0
 
-    def _judge(self, state: _Vm) -> None:
+    def _update_slow(self, state: _Vm) -> None:
         limit = self.return_ratio if state.slow else self.eject_ratio
         state.slow = self._ratio(state) >= limit
 
 
 class ProbeGate:
-    """Two states: healthy until a failure, and again after enough probes in a row.
+    """Circuit breaker with two states: unhealthy after a failure, until enough probes succeed.
 
     Parameters
     ----------
@@ -177,10 +178,10 @@
 
     Notes
     -----
-    The usual third state, half-open, tests an upstream with users' requests. Here the slot stands
-    beside its upstream all the time, so its own probes test it and users never do. One success of
-    an upstream that still struggles would return all traffic to it; several in a row seldom happen
-    by luck. A failure in between starts the count again.
+    The usual third state, half-open, tests an upstream with users' requests. Here the slot runs
+    next to its upstream, so its own probes test it and users' requests are not needed. A single
+    success of an upstream that still has problems would send all traffic back to it; several
+    consecutive ones seldom happen by chance. A failure in between restarts the count.
 
     References
     ----------
@@ -212,12 +213,12 @@
         return self._healthy
 
     def failed(self, now: float) -> None:
-        """Note that the upstream failed."""
+        """Record that the upstream failed."""
         self._healthy = False
         self._successes = 0
 
     def probe_result(self, ok: bool, now: float) -> None:
-        """Take the result of a probe."""
+        """Record the result of a probe."""
         if not ok:
             self.failed(now)
             return
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_placement.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_placement.py
@@ -1,4 +1,4 @@
-"""Placement policies: which of an entry's slots a request goes to."""
+"""Placement policies: which of an entry's slots a request is sent to."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class PlacementPolicy(ABC):
-    """Chooses a slot among candidates.
+    """Base class of the placement policies, which choose a slot among candidates.
 
     Notes
     -----
-    Candidates of weight 0 are ejected, and those that the request avoids have failed it before.
-    Both are taken only if nothing else is left, the avoided before the ejected: an upstream that
-    failed one request still serves others, an ejected one is known to be bad.
+    Candidates of weight 0 are ejected, and the request failed before on the candidates that it
+    avoids. Both are chosen only if nothing else is left, avoided ones before ejected ones: an
+    upstream that failed one request still serves others, an ejected one is known to be bad.
     """
 
     def choose(
@@ -52,7 +52,7 @@
 
 @placement_policies.register("random")
 class RandomPlacement(PlacementPolicy):
-    """Any candidate, all equally likely."""
+    """Chooses uniformly at random."""
 
     def _choose(self, candidates, request, now, rng):
         return rng.choice(candidates)
@@ -60,7 +60,7 @@
 
 @placement_policies.register("round_robin")
 class RoundRobinPlacement(PlacementPolicy):
-    """One candidate after the other, in the order of their names."""
+    """Cycles through the candidates in the order of their names."""
 
     def __init__(self) -> None:
         self._last = ""
@@ -75,7 +75,7 @@
 
 @placement_policies.register("least_reported")
 class LeastReportedPlacement(PlacementPolicy):
-    """The candidate with the smallest reported load per place."""
+    """Chooses the candidate with the smallest reported load per place."""
 
     def _choose(self, candidates, request, now, rng):
         return min(candidates, key=lambda one: (one.reported / one.places, one.vm))
@@ -83,7 +83,7 @@
 
 @placement_policies.register("two_choices")
 class TwoChoicesPlacement(PlacementPolicy):
-    """Of two random candidates the one with the smaller reported load per place."""
+    """Chooses from two random candidates the one with the smaller reported load per place."""
 
     def _choose(self, candidates, request, now, rng):
         return min(rng.sample(candidates, 2), key=lambda one: one.reported / one.places)
@@ -91,29 +91,29 @@
 
 @placement_policies.register("scored")
 class ScoredPlacement(PlacementPolicy):
-    """The candidate of a random sample with the smallest expected cost.
+    """Chooses from a random sample the candidate with the smallest expected cost.
 
     Parameters
     ----------
     sample : int
-        Candidates that are compared.
+        Number of candidates that are compared.
     age_s : float
-        Time constant after which a reported figure says little, seconds.
+        Time constant with which a reported load loses its influence, seconds.
     prefix_gain : float
-        What a fully cached prompt is worth, in parts of an upstream's places.
+        Cost reduction for a fully cached prompt, as a fraction of an upstream's places.
     domain_cost : float
-        What another failure domain costs, in parts of an upstream's places.
+        Extra cost of another failure domain, as a fraction of an upstream's places.
 
     Notes
     -----
-    The load of a candidate is what this entry itself has outstanding there, which it knows at once,
-    plus what other entries had there at the last report. With the age of the report the latter
-    drifts to the mean over all candidates: an old figure no longer tells one slot from another, and
-    several entries that read the same old figure do not all follow it. The random sample keeps
-    entries apart that read the same fresh figure.
+    The load of a candidate is the number of requests that this entry has outstanding there, which
+    is always current, plus the load of other entries at the last report. With the age of the report
+    the latter drifts to the mean over the sampled candidates: an old report no longer distinguishes
+    slots, and entries that received the same old report do not all follow it. The random sample
+    keeps entries that received the same recent report from choosing the same slot.
 
     The load per place is scaled by the step time relative to the median and divided by the health
-    weight, which spreads work in proportion to the weights.
+    weight, which distributes work in proportion to the weights.
     """
 
     def __init__(
@@ -130,12 +130,14 @@
 
     def _choose(self, candidates, request, now, rng):
         sampled = rng.sample(candidates, min(self.sample, len(candidates)))
-        others = [_others(one) / one.places for one in sampled]
+        others = [_load_of_others(one) / one.places for one in sampled]
         mean = sum(others) / len(others)
         steps = sorted(one.step_s for one in sampled if one.step_s > 0)
         median = steps[len(steps) // 2] if steps else 0.0
         costs = [
-            self._cost(one, request, _age(other, mean, one.report_age_s / self.age_s), median)
+            self._cost(
+                one, request, _drift_to_mean(other, mean, one.report_age_s / self.age_s), median
+            )
             for one, other in zip(sampled, others, strict=True)
         ]
         return sampled[costs.index(min(costs))]
@@ -153,11 +155,11 @@
         return cost
 
 
-def _others(one: Candidate) -> int:
-    """Return the load that other entries had on the candidate at its last report."""
+def _load_of_others(one: Candidate) -> int:
+    """Return the load of other entries on the candidate at its last report."""
     return max(0, one.reported - one.outstanding_at_report)
 
 
-def _age(figure: float, mean: float, age: float) -> float:
-    """Return the figure, drifted to the mean by its age in time constants."""
+def _drift_to_mean(figure: float, mean: float, age: float) -> float:
+    """Return the load after drifting to the mean; the age is in time constants."""
     return mean + (figure - mean) * math.exp(-max(0.0, age))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_places.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_places.py
@@ -1,4 +1,4 @@
-"""The places of one upstream: who occupies them, and which are kept free."""
+"""Places (concurrent requests) of one upstream: which are occupied and which reserved."""
 
 from __future__ import annotations
 
@@ -12,52 +12,52 @@
 from ._types import PlaceGrant, Work
 
 Key = tuple[str, int]
-"""Request id and attempt."""
+"""Request id and attempt number."""
 
 
 def is_movable(record: ClassRecord) -> bool:
-    """Return whether requests of a class may be paused for a higher one."""
+    """Return whether requests of a class may be paused for a higher class."""
     return record.preemptible and not record.protected
 
 
-class HoldState(enum.Enum):
-    """Where an accepted attempt is."""
+class AttemptState(enum.Enum):
+    """State of an accepted attempt."""
 
     READY = "ready"
-    """Accepted with a place, not sent upstream yet."""
+    """Has a place and has not been sent upstream yet."""
     RUNNING = "running"
     PAUSED = "paused"
-    """On the upstream, without a place."""
+    """On the upstream, does not occupy a place."""
 
 
 @attrs.define(eq=False)
-class Hold:
-    """An attempt that holds a place, or had one and is paused.
+class AcceptedAttempt:
+    """An attempt that occupies a place, or did and is paused.
 
     Parameters
     ----------
     started : int
-        Counts up with each start; the largest is the youngest.
+        Sequence number of the latest start; the largest is the most recent.
     since : float
-        When the state was entered, seconds.
+        Time of the last state change, seconds.
     resumed : bool
-        Whether it was paused before.
+        Whether it has been paused and resumed.
     """
 
     work: Work
-    state: HoldState
+    state: AttemptState
     started: int
     since: float
     resumed: bool = False
 
     @property
     def key(self) -> Key:
-        """Request id and attempt."""
+        """Request id and attempt number."""
         return self.work.request, self.work.attempt
 
 
 class PlaceTable:
-    """Counts occupied places by class and keeps some free for higher classes.
+    """Counts occupied places by class and reserves some for higher classes.
 
     Parameters
     ----------
@@ -65,17 +65,19 @@
 
     Notes
     -----
-    For each class with reserved places that it does not occupy now, that many places stay closed to
-    lower classes. Where running requests can be paused, they are closed only to requests that may
-    not be, and places taken by any other count as kept free: they are free again the moment they
-    are needed, and keeping them empty would waste them. One place stays open to every class
-    whatever is reserved, so that no class is shut out for good.
+    Reserved places that their class does not occupy now are closed to lower classes. Where running
+    requests can be paused, the reserved places are closed only to requests that may not be paused,
+    and places taken by preemptible requests count as reserved: they can be freed immediately when
+    needed, and leaving them empty would waste them. One place stays open to every class regardless
+    of reservations, so that no class is starved.
     """
 
     def __init__(self, places: int):
         self.places = places
-        self.holds: dict[Key, Hold] = {}
-        self._by_state: dict[HoldState, dict[Key, Hold]] = {state: {} for state in HoldState}
+        self.attempts: dict[Key, AcceptedAttempt] = {}
+        self._by_state: dict[AttemptState, dict[Key, AcceptedAttempt]] = {
+            state: {} for state in AttemptState
+        }
         self.grants: dict[int, PlaceGrant] = {}
         self._occupied: dict[str, int] = {}
         self._total = 0
@@ -85,16 +87,16 @@
 
     @property
     def occupied(self) -> int:
-        """Places taken by ready and running attempts and by grants."""
+        """Places occupied by ready and running attempts and by grants."""
         return self._total
 
     @property
     def classes(self) -> set[str]:
-        """Classes of the attempts that have or had a place."""
-        return {hold.work.class_name for hold in self.holds.values()}
+        """Classes of the accepted attempts."""
+        return {accepted.work.class_name for accepted in self.attempts.values()}
 
     def configure(self, places: int, classes: Mapping[str, ClassRecord], reserve: bool) -> None:
-        """Take a new number of places and new reservations."""
+        """Set the number of places and the reservations."""
         self.places = places
         self._reserved = {
             name: record.reserved_places
@@ -103,11 +105,11 @@
         }
 
     def occupied_by(self, class_name: str) -> int:
-        """Return the places taken by a class."""
+        """Return the number of places that a class occupies."""
         return self._occupied.get(class_name, 0)
 
     def free_for(self, record: ClassRecord, classes: Mapping[str, ClassRecord]) -> int:
-        """Return how many places the class could take now."""
+        """Return the number of places that the class may take now; not positive if none."""
         free = self.places - self._total
         if self.can_pause and is_movable(record):
             return free
@@ -121,51 +123,51 @@
         )
         return min(free, self.places - min(kept, self.places - 1) - fixed)
 
-    def add(self, work: Work, now: float) -> Hold:
-        """Give a place to accepted work."""
-        hold = Hold(work, HoldState.READY, 0, now)
-        self.holds[hold.key] = hold
-        self._by_state[HoldState.READY][hold.key] = hold
-        self._occupy(work.class_name, 1)
-        return hold
+    def add(self, work: Work, now: float) -> AcceptedAttempt:
+        """Assign a place to accepted work."""
+        accepted = AcceptedAttempt(work, AttemptState.READY, 0, now)
+        self.attempts[accepted.key] = accepted
+        self._by_state[AttemptState.READY][accepted.key] = accepted
+        self._change_occupied(work.class_name, 1)
+        return accepted
 
     def add_grant(self, grant: PlaceGrant) -> None:
-        """Keep a place for a grant."""
+        """Reserve a place for a grant."""
         self.grants[grant.grant] = grant
-        self._occupy(grant.class_name, 1)
+        self._change_occupied(grant.class_name, 1)
 
     def drop_grant(self, grant: int) -> PlaceGrant | None:
         """Free the place of a grant; None if there is no such grant."""
         dropped = self.grants.pop(grant, None)
         if dropped is not None:
-            self._occupy(dropped.class_name, -1)
+            self._change_occupied(dropped.class_name, -1)
         return dropped
 
-    def run(self, hold: Hold, now: float) -> None:
-        """Mark an attempt as running; a paused one takes a place again."""
-        if hold.state is HoldState.PAUSED:
-            self._occupy(hold.work.class_name, 1)
-            hold.resumed = True
+    def run(self, accepted: AcceptedAttempt, now: float) -> None:
+        """Mark an attempt as running; a paused one occupies a place again."""
+        if accepted.state is AttemptState.PAUSED:
+            self._change_occupied(accepted.work.class_name, 1)
+            accepted.resumed = True
         self._started += 1
-        hold.started = self._started
-        self._enter(hold, HoldState.RUNNING, now)
-
-    def pause(self, hold: Hold, now: float) -> None:
-        """Take the place from a running attempt."""
-        self._occupy(hold.work.class_name, -1)
-        self._enter(hold, HoldState.PAUSED, now)
-
-    def drop(self, key: Key) -> Hold | None:
-        """Forget an attempt and free its place, if it has one."""
-        hold = self.holds.pop(key, None)
-        if hold is None:
+        accepted.started = self._started
+        self._set_state(accepted, AttemptState.RUNNING, now)
+
+    def pause(self, accepted: AcceptedAttempt, now: float) -> None:
+        """Mark a running attempt as paused and free its place."""
+        self._change_occupied(accepted.work.class_name, -1)
+        self._set_state(accepted, AttemptState.PAUSED, now)
+
+    def drop(self, key: Key) -> AcceptedAttempt | None:
+        """Remove an attempt and free its place, if it has one."""
+        accepted = self.attempts.pop(key, None)
+        if accepted is None:
             return None
-        del self._by_state[hold.state][key]
-        if hold.state is not HoldState.PAUSED:
-            self._occupy(hold.work.class_name, -1)
-        return hold
+        del self._by_state[accepted.state][key]
+        if accepted.state is not AttemptState.PAUSED:
+            self._change_occupied(accepted.work.class_name, -1)
+        return accepted
 
-    def in_state(self, state: HoldState) -> list[Hold]:
+    def in_state(self, state: AttemptState) -> list[AcceptedAttempt]:
         """Return the attempts in a state, in the order in which they entered it."""
         return list(self._by_state[state].values())
 
@@ -173,12 +175,12 @@
         record = classes.get(class_name)
         return self.can_pause and (record is None or is_movable(record))
 
-    def _enter(self, hold: Hold, state: HoldState, now: float) -> None:
-        del self._by_state[hold.state][hold.key]
-        self._by_state[state][hold.key] = hold
-        hold.state, hold.since = state, now
+    def _set_state(self, accepted: AcceptedAttempt, state: AttemptState, now: float) -> None:
+        del self._by_state[accepted.state][accepted.key]
+        self._by_state[state][accepted.key] = accepted
+        accepted.state, accepted.since = state, now
 
-    def _occupy(self, class_name: str, change: int) -> None:
+    def _change_occupied(self, class_name: str, change: int) -> None:
         self._total += change
         count = self._occupied.get(class_name, 0) + change
         if count:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash the upstreams that run them."""
+"""Detection of requests that crash the upstreams that run them."""
 
 from __future__ import annotations
 
@@ -10,47 +10,49 @@
 from burdockquay_protocol import Suspicion
 
 CRASHES_TO_QUARANTINE = 2
-"""Crashes at which a request must have run; at one of them as the only suspect."""
+"""Crashes during which a request must have run; in one of them as the only suspect."""
 
 
 class Verdict(enum.Enum):
-    """How a request is treated."""
+    """How to treat a request."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"
-    """Run it, but beside no other suspect."""
+    """Run it, but not concurrently with another suspect."""
     QUARANTINED = "quarantined"
-    """Refuse it."""
+    """Reject it."""
 
 
 @attrs.define
 class _Crash:
     digests: frozenset[str]
     expires_at: float
-    taken_off: set[str] = attrs.field(factory=set)
+    subtracted: set[str] = attrs.field(factory=set)
 
 
 class QuarantineBook:
-    """Counts the upstream crashes at which each request ran.
+    """Counts the upstream crashes during which each request ran.
 
     Parameters
     ----------
     retention_s : float
-        How long a suspicion lasts after the latest crash, seconds.
+        Lifetime of a suspicion after the latest crash, seconds.
 
     Notes
     -----
-    Times are seconds since the epoch, because suspicions travel between processes.
+    Times are seconds since the epoch, because suspicions are exchanged between processes.
 
-    All that ran at a crash become suspects, and one of them may be the cause. They are run again,
-    each apart from other suspects. The next crash then has one suspect among what ran, and that is
-    quarantined: two crashes in all. If two suspects still met, as when the word of the first crash
-    had not arrived yet, neither is named, and the third crash decides.
+    All requests that were running at a crash become suspects, since one of them may be the cause.
+    They are retried, never two suspects at a time on one upstream. The next crash then has a single
+    suspect among the running requests, which is quarantined: after two crashes in total. If two
+    suspects ran together nevertheless, for example because the report of the first crash had not
+    arrived yet, neither is quarantined, and the third crash decides.
 
-    A crash with a quarantined request in it is explained: what ran beside it is no suspect for it,
-    and one that was quarantined for that crash is set free. A request that ran to its end is clear.
+    A crash is attributed to a quarantined request that was running: the requests that ran beside it
+    are not suspected because of this crash, and one that was quarantined because of it is cleared.
+    A request that ran to completion is cleared.
 
-    Two entries of the same crash must not add up, so figures of peers are merged by the larger.
+    Two reports of the same crash must not add up, so the counts of peers are merged by the maximum.
     """
 
     def __init__(self, retention_s: float):
@@ -60,33 +62,33 @@
         self._cleared: dict[str, Suspicion] = {}
 
     def note_crash(self, digests: Sequence[str], now: float) -> list[Suspicion]:
-        """Note that an upstream crashed while requests ran.
+        """Record that an upstream crashed while requests were running.
 
         Parameters
         ----------
         digests : sequence of str
-            Of every request that ran there.
+            Digests of all requests that were running there.
 
         Returns
         -------
         list of Suspicion
-            What is new, to be stored and sent to peers.
+            New or changed suspicions, to be stored and sent to peers.
         """
         self._drop_expired(now)
         ran = frozenset(digests)
         if any(self._is_quarantined(digest) for digest in ran):
             return []
         known = [digest for digest in ran if digest in self._suspicions]
-        blamed = known if known else sorted(ran)
+        suspects = known if known else sorted(ran)
         self._crashes.append(_Crash(ran, now + self.retention_s))
-        changed = [self._blame(digest, len(blamed) == 1, now) for digest in sorted(ran)]
-        for digest in blamed:
+        changed = [self._count_crash(digest, len(suspects) == 1, now) for digest in sorted(ran)]
+        for digest in suspects:
             if self._is_quarantined(digest):
-                self._explain(digest)
+                self._subtract_crashes_of(digest)
         return [one for one in changed if one.digest in self._suspicions]
 
     def note_finished(self, digest: str, now: float) -> None:
-        """Note that a request ran to its end, which clears it of the crashes so far."""
+        """Record that a request ran to completion, which clears it of the crashes so far."""
         suspicion = self._suspicions.get(digest)
         if suspicion is not None and not self._is_quarantined(digest):
             self._clear(suspicion)
@@ -99,28 +101,28 @@
         return Verdict.QUARANTINED if self._is_quarantined(digest) else Verdict.SUSPECT
 
     def merge(self, suspicions: Iterable[Suspicion], now: float) -> list[Suspicion]:
-        """Take suspicions from a peer or the table.
+        """Merge suspicions received from a peer or read from the table.
 
         Returns
         -------
         list of Suspicion
-            Those that said something new here, to be passed on.
+            Those that changed something here, to be forwarded.
         """
         self._drop_expired(now)
         return [one for one in suspicions if one.expires_at > now and self._merge(one)]
 
     def suspicions(self, now: float) -> list[Suspicion]:
-        """Return every suspicion in force, by digest."""
+        """Return all suspicions in force, sorted by digest."""
         self._drop_expired(now)
         return [self._suspicions[digest] for digest in sorted(self._suspicions)]
 
     def withdraw(self, digest: str, now: float) -> None:
-        """Set a request free, on an operator's word; earlier reports of it are ignored."""
+        """Clear a request at an operator's command; earlier reports of it are ignored."""
         suspicion = self._suspicions.get(digest)
         if suspicion is not None:
             self._clear(suspicion)
 
-    def _blame(self, digest: str, alone: bool, now: float) -> Suspicion:
+    def _count_crash(self, digest: str, alone: bool, now: float) -> Suspicion:
         old = self._suspicions.get(digest)
         crashes, times_alone = (old.crashes, old.alone) if old else (0, 0)
         new = Suspicion(digest, crashes + 1, times_alone + alone, now + self.retention_s)
@@ -133,15 +135,15 @@
             return False
         return suspicion.crashes >= CRASHES_TO_QUARANTINE and suspicion.alone > 0
 
-    def _explain(self, culprit: str) -> None:
-        """Take the crashes of a quarantined request off what ran beside it."""
+    def _subtract_crashes_of(self, cause: str) -> None:
+        """Subtract the crashes of a quarantined request from the requests that ran beside it."""
         for crash in self._crashes:
-            if culprit in crash.digests:
-                for digest in crash.digests - crash.taken_off - {culprit}:
-                    crash.taken_off.add(digest)
-                    self._take_off(digest)
+            if cause in crash.digests:
+                for digest in crash.digests - crash.subtracted - {cause}:
+                    crash.subtracted.add(digest)
+                    self._subtract_crash(digest)
 
-    def _take_off(self, digest: str) -> None:
+    def _subtract_crash(self, digest: str) -> None:
         old = self._suspicions.get(digest)
         if old is None:
             return
@@ -151,7 +153,7 @@
             self._clear(old)
 
     def _clear(self, suspicion: Suspicion) -> None:
-        """Drop a suspicion and remember it, so that a peer's old report does not bring it back."""
+        """Drop a suspicion, and record it so that an old report of a peer does not restore it."""
         del self._suspicions[suspicion.digest]
         self._cleared[suspicion.digest] = suspicion
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_queues.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_queues.py
@@ -1,4 +1,4 @@
-"""Queue policies: in which order waiting requests leave."""
+"""Queue policies: the order in which queued requests are dispatched."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 @attrs.define(eq=False)
-class _Entry:
+class _QueuedItem:
     waiting: Waiting
     alive: bool = True
 
 
-class _ClassLine:
-    """The requests of one class, by age and by organisation."""
+class _ClassQueue:
+    """Queued requests of one class, indexed by age and by organisation."""
 
     def __init__(self) -> None:
         self.by_age = LazyHeap()
@@ -35,23 +35,23 @@
         self.counts: dict[str, int] = {}
         self.count = 0
 
-    def add(self, entry: _Entry) -> bool:
-        """Add an entry; return whether it is the only one of its organisation."""
-        waiting = entry.waiting
-        self.by_age.push(waiting.enqueued_at, entry)
+    def add(self, item: _QueuedItem) -> bool:
+        """Add an item; return whether it is the only one of its organisation."""
+        waiting = item.waiting
+        self.by_age.push(waiting.enqueued_at, item)
         if waiting.begun:
-            self.begun.push(waiting.enqueued_at, entry)
-        line = self.by_organisation.setdefault(waiting.organisation, LazyHeap())
-        line.push(waiting.enqueued_at, entry)
+            self.begun.push(waiting.enqueued_at, item)
+        class_queue = self.by_organisation.setdefault(waiting.organisation, LazyHeap())
+        class_queue.push(waiting.enqueued_at, item)
         self.count += 1
         self.counts[waiting.organisation] = self.counts.get(waiting.organisation, 0) + 1
         return self.counts[waiting.organisation] == 1
 
-    def drop(self, entry: _Entry) -> bool:
-        """Drop a dead entry; return whether its organisation has none left."""
-        organisation = entry.waiting.organisation
+    def drop(self, item: _QueuedItem) -> bool:
+        """Drop a removed item; return whether its organisation has none left."""
+        organisation = item.waiting.organisation
         self.by_age.discard()
-        if entry.waiting.begun:
+        if item.waiting.begun:
             self.begun.discard()
         self.by_organisation[organisation].discard()
         self.count -= 1
@@ -64,56 +64,60 @@
 
 
 class QueuePolicy(ABC):
-    """Requests that wait, and which of them leaves next.
+    """Base class of the queue policies: queued requests, and which is dispatched next.
 
     Parameters
     ----------
     classes : mapping of str to ClassRecord
     weights : mapping of str to float
-        Weight of each organisation in the division inside a class; 1 for those not named.
+        Weight of each organisation within a class; 1 for organisations that are not listed.
 
     Notes
     -----
-    Times are seconds on one clock that does not run backwards. Push, pop and remove take time
-    logarithmic in the number of requests and linear in the number of classes with requests.
-    Call :meth:`expire` before :meth:`pop`: a request is given out until it was expired.
+    Times are seconds on one monotonic clock. Push, pop and remove take time logarithmic in the
+    number of requests and linear in the number of classes with requests. Call :meth:`expire` before
+    :meth:`pop`: an overdue request can still be dispatched until :meth:`expire` removes it.
 
-    A request whose answer has begun leaves first in its class, whatever the policy, and is not
-    subject to the class's patience. Its upstream has crashed and tokens were spent on it; refusing
-    it would cut an answer that its caller is reading.
+    A request whose answer has begun is dispatched first in its class under every policy and is not
+    subject to the class's patience. Its upstream has crashed after generating tokens; rejecting it
+    would truncate an answer that its caller is reading.
     """
 
     def __init__(self, classes: Mapping[str, ClassRecord], weights: Mapping[str, float]):
         self.classes = dict(classes)
         self.weights = dict(weights)
         self._ledger = ShareLedger(classes)
-        self._entries: dict[str, _Entry] = {}
-        self._lines: dict[str, _ClassLine] = {}
+        self._items: dict[str, _QueuedItem] = {}
+        self._class_queues: dict[str, _ClassQueue] = {}
         self._expiries = LazyHeap()
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._items)
 
     @property
     def classes_waiting(self) -> set[str]:
-        """Classes with waiting requests."""
-        return set(self._lines)
+        """Classes with queued requests."""
+        return set(self._class_queues)
 
     def waiting(self, class_name: str) -> int:
-        """Return how many requests of a class wait."""
-        line = self._lines.get(class_name)
-        return line.count if line else 0
+        """Return the number of queued requests of a class."""
+        class_queue = self._class_queues.get(class_name)
+        return class_queue.count if class_queue else 0
 
     def ahead(self, class_name: str, organisation: str) -> float:
-        """Estimate how many requests of the class would leave before a new one.
+        """Estimate how many requests of the class would be dispatched before a new one.
 
         Notes
         -----
-        Fair division lets an organisation with few waiting requests pass one with many, so that the
-        estimate, and with it early refusal, falls on the organisation that fills the queue.
+        With fair queueing an organisation with few queued requests overtakes one with many, so the
+        estimate, and with it early rejection, affects the organisation that fills the queue.
         """
-        line = self._lines.get(class_name)
-        return min(float(line.count), self._ahead(line, organisation)) if line else 0.0
+        class_queue = self._class_queues.get(class_name)
+        return (
+            min(float(class_queue.count), self._ahead(class_queue, organisation))
+            if class_queue
+            else 0.0
+        )
 
     def push(self, waiting: Waiting, now: float) -> None:
         """Add a request.
@@ -121,60 +125,60 @@
         Raises
         ------
         ValueError
-            If a request of the same id waits already.
+            If a request with the same id is already queued.
         """
-        if waiting.request in self._entries:
-            raise ValueError(f"expected a request that does not wait yet, got {waiting.request!r}")
-        entry = _Entry(waiting)
-        self._entries[waiting.request] = entry
-        self._expiries.push(self._expiry(waiting), entry)
-        line = self._lines.setdefault(waiting.class_name, _ClassLine())
-        if line.add(entry):
-            self._organisation_came(waiting)
+        if waiting.request in self._items:
+            raise ValueError(f"expected a request that is not queued yet, got {waiting.request!r}")
+        item = _QueuedItem(waiting)
+        self._items[waiting.request] = item
+        self._expiries.push(self._expiry(waiting), item)
+        class_queue = self._class_queues.setdefault(waiting.class_name, _ClassQueue())
+        if class_queue.add(item):
+            self._organisation_arrived(waiting)
 
     def pop(self, now: float, class_name: str | None = None) -> Waiting | None:
-        """Take out the next request, of one class if given; None if there is none."""
+        """Remove and return the next request, of one class if given; None if there is none."""
         contenders = self._contenders(now)
         chosen = class_name or self.choose_class(contenders, self._ledger)
-        if chosen is None or chosen not in self._lines:
+        if chosen is None or chosen not in self._class_queues:
             return None
-        entry = self._next_entry(chosen)
-        self._take(entry)
-        self._started(entry.waiting, contenders)
-        return entry.waiting
+        item = self._next_item(chosen)
+        self._discard_item(item)
+        self._record_start(item.waiting, contenders)
+        return item.waiting
 
     def peek(self, now: float) -> Waiting | None:
-        """Return the request that :meth:`pop` would take out."""
+        """Return the request that :meth:`pop` would return."""
         chosen = self.choose_class(self._contenders(now), self._ledger)
-        return self._next_entry(chosen).waiting if chosen else None
+        return self._next_item(chosen).waiting if chosen else None
 
     def remove(self, request: str, now: float) -> Waiting | None:
-        """Take out one request by its id; None if it does not wait."""
-        entry = self._entries.get(request)
-        if entry is None:
+        """Remove and return a request by its id; None if it is not queued."""
+        item = self._items.get(request)
+        if item is None:
             return None
-        self._take(entry)
-        return entry.waiting
+        self._discard_item(item)
+        return item.waiting
 
     def expire(self, now: float) -> list[Waiting]:
-        """Take out requests whose deadline has passed or whose class's patience is used up."""
+        """Remove and return requests whose deadline or class patience has passed."""
         expired = []
         while (due := self._expiries.peek_key()) is not None and due <= now:
-            entry = self._expiries.peek()
-            self._take(entry)
-            expired.append(entry.waiting)
+            item = self._expiries.peek()
+            self._discard_item(item)
+            expired.append(item.waiting)
         return expired
 
     def next_expiry(self) -> float | None:
-        """Return when :meth:`expire` next has something to take out, seconds; None for never."""
+        """Return the time of the next expiry, seconds; None if nothing is queued."""
         return self._expiries.peek_key()
 
     def charge(self, class_name: str, organisation: str, tokens: float, now: float) -> None:
-        """Account tokens that a request of the class and organisation generated."""
+        """Charge generated tokens to a class and organisation."""
         self._ledger.charge(class_name, tokens)
 
     def demand(self, now: float) -> list[ClassDemand]:
-        """Return how many requests of each class wait, and how long the oldest has."""
+        """Return the number of queued requests of each class and the longest wait."""
         return [
             ClassDemand(contender.class_name, self.waiting(contender.class_name), wait)
             for contender in self._contenders(now)
@@ -184,41 +188,41 @@
     def set_classes(
         self, classes: Mapping[str, ClassRecord], weights: Mapping[str, float], now: float
     ) -> None:
-        """Take new records; requests of withdrawn classes keep waiting under the last record."""
-        self._ledger.configure(classes, in_use=self._lines)
+        """Apply new records; queued requests of withdrawn classes keep the last record."""
+        self._ledger.configure(classes, in_use=self._class_queues)
         self.classes = dict(classes)
         self.weights = dict(weights)
         self._expiries = LazyHeap()
-        for entry in self._entries.values():
-            self._expiries.push(self._expiry(entry.waiting), entry)
+        for item in self._items.values():
+            self._expiries.push(self._expiry(item.waiting), item)
 
     @abstractmethod
     def choose_class(self, contenders: Sequence[Contender], ledger: ShareLedger) -> str | None:
-        """Return the class whose turn it is by the ledger's accounts; None without contenders."""
+        """Return the class to serve next according to the ledger; None without contenders."""
 
     @abstractmethod
-    def _choose_entry(self, class_name: str) -> _Entry:
-        """Return the next entry of a class that has entries."""
+    def _choose_item(self, class_name: str) -> _QueuedItem:
+        """Return the next item of a class that has queued requests."""
 
-    def _ahead(self, line: _ClassLine, organisation: str) -> float:
-        return float(line.count)
+    def _ahead(self, class_queue: _ClassQueue, organisation: str) -> float:
+        return float(class_queue.count)
 
-    def _organisation_came(self, waiting: Waiting) -> None:
-        """Note the first waiting request of an organisation in a class."""
+    def _organisation_arrived(self, waiting: Waiting) -> None:
+        """Handle the first queued request of an organisation in a class."""
         self._ledger.activate(waiting.class_name)
 
-    def _organisation_went(self, waiting: Waiting) -> None:
-        """Note that no request of an organisation waits in a class any more."""
-        if not self._lines[waiting.class_name].count:
-            del self._lines[waiting.class_name]
+    def _organisation_left(self, waiting: Waiting) -> None:
+        """Handle the removal of the last queued request of an organisation in a class."""
+        if not self._class_queues[waiting.class_name].count:
+            del self._class_queues[waiting.class_name]
             self._ledger.deactivate(waiting.class_name)
 
-    def _started(self, waiting: Waiting, contenders: Sequence[Contender]) -> None:
-        """Note that a request was taken out to be run while the contenders waited."""
+    def _record_start(self, waiting: Waiting, contenders: Sequence[Contender]) -> None:
+        """Record that a request was dispatched while the contenders waited."""
         self._ledger.started(waiting.class_name, contenders)
 
-    def _next_entry(self, class_name: str) -> _Entry:
-        return self._lines[class_name].begun.peek() or self._choose_entry(class_name)
+    def _next_item(self, class_name: str) -> _QueuedItem:
+        return self._class_queues[class_name].begun.peek() or self._choose_item(class_name)
 
     def _expiry(self, waiting: Waiting) -> float:
         if waiting.begun:
@@ -228,42 +232,42 @@
 
     def _contenders(self, now: float) -> list[Contender]:
         return [
-            Contender(name, max(0.0, now - line.by_age.peek_key()))
-            for name, line in self._lines.items()
+            Contender(name, max(0.0, now - class_queue.by_age.peek_key()))
+            for name, class_queue in self._class_queues.items()
         ]
 
-    def _take(self, entry: _Entry) -> None:
-        waiting = entry.waiting
-        entry.alive = False
-        del self._entries[waiting.request]
+    def _discard_item(self, item: _QueuedItem) -> None:
+        waiting = item.waiting
+        item.alive = False
+        del self._items[waiting.request]
         self._expiries.discard()
-        line = self._lines[waiting.class_name]
-        if line.drop(entry):
-            self._organisation_went(waiting)
+        class_queue = self._class_queues[waiting.class_name]
+        if class_queue.drop(item):
+            self._organisation_left(waiting)
 
 
 @queue_policies.register("fifo")
 class FifoQueue(QueuePolicy):
-    """One line over everything: the earliest enqueued request leaves first."""
+    """One FIFO queue over all classes: the earliest enqueued request is dispatched first."""
 
     def choose_class(self, contenders: Sequence[Contender], ledger: ShareLedger) -> str | None:
         """Return the class with the longest wait."""
         oldest = max(contenders, key=lambda one: (one.oldest_wait_s, one.class_name), default=None)
         return oldest.class_name if oldest else None
 
-    def _choose_entry(self, class_name: str) -> _Entry:
-        return self._lines[class_name].by_age.peek()
+    def _choose_item(self, class_name: str) -> _QueuedItem:
+        return self._class_queues[class_name].by_age.peek()
 
 
 @queue_policies.register("class_share")
 class ClassShareQueue(QueuePolicy):
-    """Priority with guaranteed shares between classes, fair between organisations inside a class.
+    """Priorities and guaranteed shares between classes, fair queueing between organisations.
 
     Notes
     -----
-    :class:`ShareLedger` chooses the class and states the bound on the wait.
-    :class:`OrganisationRounds` chooses the organisation, by deficit round robin over the tokens
-    really generated. Inside an organisation the earliest enqueued request leaves first.
+    :class:`ShareLedger` chooses the class and documents the bound on the wait.
+    :class:`OrganisationRounds` chooses the organisation within the class, by deficit round robin
+    over the tokens actually generated. Within an organisation the order is FIFO.
     """
 
     def __init__(self, classes: Mapping[str, ClassRecord], weights: Mapping[str, float]):
@@ -271,42 +275,42 @@
         self._rounds: dict[str, OrganisationRounds] = {}
 
     def charge(self, class_name: str, organisation: str, tokens: float, now: float) -> None:
-        """Account tokens that a request of the class and organisation generated."""
+        """Charge generated tokens to a class and organisation."""
         super().charge(class_name, organisation, tokens, now)
         self._class_rounds(class_name).charge(organisation, tokens)
 
     def set_classes(
         self, classes: Mapping[str, ClassRecord], weights: Mapping[str, float], now: float
     ) -> None:
-        """Take new records; requests of withdrawn classes keep waiting under the last record."""
+        """Apply new records; queued requests of withdrawn classes keep the last record."""
         super().set_classes(classes, weights, now)
-        known = set(self._lines) | set(classes)
-        self._rounds = {name: line for name, line in self._rounds.items() if name in known}
-        for line in self._rounds.values():
-            line.set_weights(self.weights)
+        known = set(self._class_queues) | set(classes)
+        self._rounds = {name: rounds for name, rounds in self._rounds.items() if name in known}
+        for rounds in self._rounds.values():
+            rounds.set_weights(self.weights)
 
     def choose_class(self, contenders: Sequence[Contender], ledger: ShareLedger) -> str | None:
-        """Return the class that the ledger ranks first."""
+        """Return the class that the ledger chooses."""
         return ledger.choose(contenders)
 
-    def _choose_entry(self, class_name: str) -> _Entry:
+    def _choose_item(self, class_name: str) -> _QueuedItem:
         organisation = self._class_rounds(class_name).choose()
-        return self._lines[class_name].by_organisation[organisation].peek()
+        return self._class_queues[class_name].by_organisation[organisation].peek()
 
-    def _ahead(self, line: _ClassLine, organisation: str) -> float:
-        own = line.counts.get(organisation, 0) + 1
-        return own * len(line.counts) / self.weights.get(organisation, 1.0)
+    def _ahead(self, class_queue: _ClassQueue, organisation: str) -> float:
+        own = class_queue.counts.get(organisation, 0) + 1
+        return own * len(class_queue.counts) / self.weights.get(organisation, 1.0)
 
-    def _organisation_came(self, waiting: Waiting) -> None:
-        super()._organisation_came(waiting)
+    def _organisation_arrived(self, waiting: Waiting) -> None:
+        super()._organisation_arrived(waiting)
         self._class_rounds(waiting.class_name).arrive(waiting.organisation)
 
-    def _organisation_went(self, waiting: Waiting) -> None:
-        super()._organisation_went(waiting)
+    def _organisation_left(self, waiting: Waiting) -> None:
+        super()._organisation_left(waiting)
         self._class_rounds(waiting.class_name).leave(waiting.organisation)
 
-    def _started(self, waiting: Waiting, contenders: Sequence[Contender]) -> None:
-        super()._started(waiting, contenders)
+    def _record_start(self, waiting: Waiting, contenders: Sequence[Contender]) -> None:
+        super()._record_start(waiting, contenders)
         self._class_rounds(waiting.class_name).served(waiting.organisation)
 
     def _class_rounds(self, class_name: str) -> OrganisationRounds:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_retries.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_retries.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt is tried again elsewhere."""
+"""Decision whether a failed attempt is retried on another slot, and the retry budget."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from burdockquay_protocol import ErrorKind
 
 MAX_ATTEMPTS = 4
-"""Attempts after which a request that costs the upstreams something is not tried again."""
-TRICKLE_PER_S = 0.2
-"""Retries a second that are allowed whatever the fresh traffic."""
+"""Attempts after which a request is not retried, unless its retries cost upstreams nothing."""
+MIN_RETRIES_PER_S = 0.2
+"""Retries per second that are allowed regardless of the amount of first attempts."""
 
 
 class RetryRule(enum.Enum):
-    """What the kind of an error says about another attempt."""
+    """Retry rule of an error kind."""
 
     NEVER = "never"
-    """Another attempt would end the same way, or must not be made."""
+    """Another attempt would fail in the same way, or must not be made."""
     FREE = "free"
-    """Certainly not run, and refused at no cost upstream: try again without a budget."""
+    """Certainly not run, and rejected at no cost upstream: retry without the budget."""
     NOT_RUN = "not_run"
-    """Certainly not run: try again within the budget."""
+    """Certainly not run: retry within the budget."""
     IF_IDEMPOTENT = "if_idempotent"
-    """May have run: try again within the budget if running twice does no harm."""
+    """May have run: retry within the budget if the request is idempotent."""
 
 
 _RULES: dict[ErrorKind, RetryRule] = {
@@ -32,19 +32,19 @@
     ErrorKind.LEAVING: RetryRule.FREE,
     ErrorKind.NO_UPSTREAM: RetryRule.NOT_RUN,
     ErrorKind.NOT_READY: RetryRule.NOT_RUN,
-    # Only an attempt whose claim row was settled as "not run" comes here: the next one expects
-    # the row as it is now.
+    # The claim row of such an attempt has already been settled as "not run"; the next attempt
+    # expects the row in its present version.
     ErrorKind.CLAIM_LOST: RetryRule.NOT_RUN,
     ErrorKind.UPSTREAM_FAILED: RetryRule.IF_IDEMPOTENT,
     ErrorKind.PEER_LOST: RetryRule.IF_IDEMPOTENT,
     ErrorKind.INTERNAL: RetryRule.IF_IDEMPOTENT,
 }
-"""Kinds that are not named are never tried again."""
+"""Kinds that are not listed are never retried."""
 
 
 @attrs.frozen
 class RetryDecision:
-    """Whether to try again.
+    """Whether to retry.
 
     Parameters
     ----------
@@ -52,7 +52,7 @@
     needs_budget : bool
         Whether the retry must first be withdrawn from the :class:`RetryBudget`.
     reason : str
-        For the counter of retries by reason.
+        Label of the counter of retries by reason.
     """
 
     retry: bool
@@ -61,24 +61,25 @@
 
 
 def rule_of(kind: ErrorKind) -> RetryRule:
-    """Return what an error kind says about another attempt."""
+    """Return the retry rule of an error kind."""
     return _RULES.get(kind, RetryRule.NEVER)
 
 
 def should_retry(
     kind: ErrorKind, idempotent: bool, attempt: int, can_resume: bool
 ) -> RetryDecision:
-    """Decide whether an attempt that failed is followed by another.
+    """Decide whether a failed attempt is retried.
 
     Parameters
     ----------
     kind : ErrorKind
-        How the attempt failed.
+        Error kind of the failed attempt.
     idempotent : bool
     attempt : int
         Number of the failed attempt, from 1.
     can_resume : bool
-        True if the caller has got nothing yet, or the engine can go on behind what it got.
+        True if the caller has received nothing yet, or an engine can continue after the part that
+        it has received.
 
     Examples
     --------
@@ -100,20 +101,20 @@
 
 
 class RetryBudget:
-    """Limits retries to a share of the fresh traffic.
+    """Limits retries to a share of the first attempts.
 
     Parameters
     ----------
     ratio : float
-        Retries earned by each fresh request.
+        Retries earned by each new request.
     burst : float
-        Most retries that are kept.
+        Largest number of retries that can be saved up.
 
     Notes
     -----
     A limit per request multiplies the load when everything fails: three attempts each are three
-    times the traffic at the worst moment. A share of the fresh traffic bounds the sum. A trickle of
-    :data:`TRICKLE_PER_S` lets a process with little traffic retry at all.
+    times the traffic at the worst moment. A share of the new requests bounds the total. The minimum
+    of :data:`MIN_RETRIES_PER_S` allows a process with little traffic to retry at all.
 
     Examples
     --------
@@ -131,12 +132,12 @@
         self._filled_at: float | None = None
 
     def deposit(self, now: float) -> None:
-        """Note a fresh request."""
+        """Record a new request."""
         self._fill(now)
         self._tokens = min(self.burst, self._tokens + self.ratio)
 
     def withdraw(self, now: float) -> bool:
-        """Take one retry; False if none is left."""
+        """Take one retry; return False if none is left."""
         self._fill(now)
         if self._tokens < 1.0:
             return False
@@ -145,6 +146,6 @@
 
     def _fill(self, now: float) -> None:
         if self._filled_at is not None:
-            earned = max(0.0, now - self._filled_at) * TRICKLE_PER_S
+            earned = max(0.0, now - self._filled_at) * MIN_RETRIES_PER_S
             self._tokens = min(self.burst, self._tokens + earned)
         self._filled_at = now
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_routing.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_routing.py
@@ -1,4 +1,4 @@
-"""Which organisation sends a request, and which route record decides on it."""
+"""Authentication of a request, and the route record that applies to it."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from burdockquay_state import ANY, ClassRecord, OrganisationRecord, RouteRecord, Snapshot
 
 _UNKNOWN_ORGANISATION = OrganisationRecord("unknown", "0" * 32, ["0" * 64])
-"""Compared against when the organisation does not exist, so that both cases take equal time."""
+"""Compared against if the organisation does not exist, so that both cases take equal time."""
 
 
 def make_key_digest(salt_hex: str, api_key: str) -> str:
-    """Return the digest that an organisation record keeps of an API key.
+    """Return the digest of an API key that an organisation record stores.
 
     Parameters
     ----------
     salt_hex : str
         The salt in hexadecimal.
     api_key : str
-        The whole key, ``<organisation>.<secret>``.
+        The complete key, ``<organisation>.<secret>``.
 
     Returns
     -------
@@ -41,13 +41,13 @@
     Returns
     -------
     Result of OrganisationRecord or RequestError
-        ``UNAUTHENTICATED``, in the same words whether the organisation or its secret is wrong.
+        ``UNAUTHENTICATED``, with the same text whether the organisation or its secret is wrong.
 
     Notes
     -----
-    Digests are compared in constant time, all of them, and against a made-up record if the
-    organisation is unknown. Otherwise the time of the answer would tell a caller which names exist
-    and how much of a digest is right.
+    All digests are compared in constant time, and against a dummy record if the organisation is
+    unknown. Otherwise the response time would reveal which names exist and how much of a digest
+    matches.
     """
     name, _, secret = api_key.rpartition(".")
     known = snapshot.organisations.get(name)
@@ -61,8 +61,8 @@
 
 
 @attrs.define
-class _Bucket:
-    """Routes with equal conditions but for the path: the best for each path prefix."""
+class _RouteGroup:
+    """Routes whose conditions differ only in the path: the best one of each path prefix."""
 
     by_prefix: dict[str, RouteRecord] = attrs.field(factory=dict)
     lengths: list[int] = attrs.field(factory=list)
@@ -81,7 +81,7 @@
 
 
 class RouteTable:
-    """The route records of a configuration, indexed.
+    """Index of the route records of a configuration.
 
     Parameters
     ----------
@@ -89,26 +89,26 @@
 
     Notes
     -----
-    Of the matching routes the largest precedence decides, of equals the name that sorts first.
-    Routes are grouped by organisation, model and service class, where each is a value or any; a
-    request looks into at most eight groups, and in each tries one prefix of its path for every
-    length of path prefix that occurs there. The time so depends on how many lengths there are, not
-    on how many routes.
+    Of the matching routes the one with the largest precedence applies; ties are broken by the name
+    that sorts first. Routes are grouped by organisation, model and service class, where each is a
+    value or any. A request searches at most eight groups and in each looks up one prefix of its
+    path for every length of path prefix in the group. So the time depends on the number of
+    different lengths, not on the number of routes.
     """
 
     def __init__(self, snapshot: Snapshot):
-        self._buckets: dict[tuple[str, str, str], _Bucket] = {}
-        self._any_model: dict[tuple[str, str], _Bucket] = {}
+        self._groups: dict[tuple[str, str, str], _RouteGroup] = {}
+        self._any_model: dict[tuple[str, str], _RouteGroup] = {}
         for route in sorted(snapshot.routes.values(), key=_rank):
             key = (route.organisation, route.model, route.service_class)
-            self._buckets.setdefault(key, _Bucket()).add(route)
+            self._groups.setdefault(key, _RouteGroup()).add(route)
             rest = (route.organisation, route.service_class)
-            self._any_model.setdefault(rest, _Bucket()).add(route)
+            self._any_model.setdefault(rest, _RouteGroup()).add(route)
 
     def match(
         self, organisation: str, path: str, model: str, service_class: str
     ) -> Result[RouteRecord, RequestError]:
-        """Return the route that decides on a request.
+        """Return the route that applies to a request.
 
         Parameters
         ----------
@@ -116,29 +116,29 @@
         model : str
             Empty for plain services.
         service_class : str
-            Value of the header ``X-Service-Class``, empty without it.
+            Value of the header ``X-Service-Class``; empty if it is missing.
 
         Returns
         -------
         Result of RouteRecord or RequestError
-            ``UNKNOWN_MODEL`` if a route would match with another model, else ``NOT_FOUND``.
+            ``UNKNOWN_MODEL`` if a route would match another model, else ``NOT_FOUND``.
         """
         found = [
             route
             for one in (organisation, ANY)
             for two in (model, ANY)
             for three in (service_class, ANY)
-            for route in self._routes(self._buckets.get((one, two, three)), path)
+            for route in self._routes(self._groups.get((one, two, three)), path)
         ]
         if found:
             return Ok(min(found, key=_rank))
-        if model and self._matches_but_for_model(organisation, path, service_class):
+        if model and self._matches_other_model(organisation, path, service_class):
             detail = f"expected a model that a route names, got {model!r}"
             return Err(RequestError(ErrorKind.UNKNOWN_MODEL, detail))
         detail = f"expected a path that a route of {organisation!r} names, got {path!r}"
         return Err(RequestError(ErrorKind.NOT_FOUND, detail))
 
-    def _matches_but_for_model(self, organisation: str, path: str, service_class: str) -> bool:
+    def _matches_other_model(self, organisation: str, path: str, service_class: str) -> bool:
         return any(
             True
             for one in (organisation, ANY)
@@ -147,17 +147,17 @@
         )
 
     @staticmethod
-    def _routes(bucket: _Bucket | None, path: str) -> Iterator[RouteRecord]:
-        return bucket.matches(path) if bucket else iter(())
+    def _routes(route_group: _RouteGroup | None, path: str) -> Iterator[RouteRecord]:
+        return route_group.matches(path) if route_group else iter(())
 
 
 def classes_of_group(snapshot: Snapshot, group: str) -> dict[str, ClassRecord]:
-    """Return the class records as they apply to the upstreams of one group.
+    """Return the class records that apply to the upstreams of one group.
 
     Notes
     -----
-    A class that no route leads to the group can have no request there. Places kept free for it
-    would stay empty for good, so it reserves none.
+    A class that no route sends to the group has no requests there. Places reserved for it would
+    stay empty forever, so it reserves none.
     """
     routed = {route.class_name for route in snapshot.routes.values() if route.group == group}
     return {
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_queues.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_queues.py
@@ -6,7 +6,7 @@
 
 from burdockquay_coordination import Waiting, queue_policies
 from burdockquay_coordination._fairness import QUANTUM_TOKENS, START_TOKENS
-from burdockquay_coordination._shares import TURN_EVERY_PROTECTED
+from burdockquay_coordination._shares import STARTS_PER_AGED_TURN_PROTECTED
 from burdockquay_state import ClassRecord
 
 CLASSES = {
@@ -177,7 +177,7 @@
         for name in CLASSES:
             waits = name != one.class_name and queue.waiting(name)
             passed_by[name] = passed_by[name] + 1 if waits else 0
-        bound = TURN_EVERY_PROTECTED * len(CLASSES) + len(CLASSES)
+        bound = STARTS_PER_AGED_TURN_PROTECTED * len(CLASSES) + len(CLASSES)
         assert max(passed_by.values()) <= bound
 
 
