--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_configuration.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a process has in force, and how it keeps up with the record log."""
+"""Configuration in force in a process, and its updates from the record log."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 )
 
 RECENT_ENTRIES = 1000
-"""Entries kept for peers that lag; one that lags further gets the whole configuration."""
+"""Log entries kept for lagging peers; a peer that lags further gets the full configuration."""
 
-PART_BYTES = 1 << 20
-"""Bodies in one part of the log, bytes; the receiver asks for the next part."""
+LOG_PART_LIMIT_BYTES = 1 << 20
+"""Largest size of one part of the log, bytes; the receiver requests the next part."""
 
-WHOLE_BYTES = 3 << 20
-"""Bodies in a whole configuration that still fits into one message, bytes."""
+FULL_CONFIGURATION_LIMIT_BYTES = 3 << 20
+"""Largest size of a full configuration that is sent in one message, bytes."""
 
 FETCH_RETRY_S = 0.5
-"""Time after which a peer's missing answer is given up and another peer is asked, seconds."""
+"""Time without an answer of a peer after which another peer is asked, seconds."""
 
 
 class ApplyStatus(enum.Enum):
@@ -43,11 +43,11 @@
 
     APPLIED = "applied"
     NOT_NEWER = "not_newer"
-    """Nothing in it was newer than what is in force."""
+    """It contains nothing newer than what is in force."""
     GAP = "gap"
-    """It starts behind entries that are missing here."""
+    """It starts after entries that are missing here."""
     MALFORMED = "malformed"
-    """Its entries are out of order or exceed its head."""
+    """Its entries are out of order or beyond its head."""
 
 
 @attrs.frozen
@@ -58,13 +58,13 @@
     ----------
     status : ApplyStatus
     revision : int
-        In force afterwards.
+        Revision in force afterwards.
     applied : int
-        Entries that were applied.
+        Number of entries that were applied.
     faults : tuple of RecordFault
-        Records that this process cannot read; their last readable form stays in force.
+        Records that this process cannot decode; their last readable version stays in force.
     kept : tuple of str
-        Records that stay as they were in force although the log has lost that; see
+        Records that stay in force unchanged although the log has lost that change; see
         :meth:`ConfigurationHolder.apply`.
     """
 
@@ -76,19 +76,19 @@
 
 
 class ConfigurationHolder:
-    """Holds the configuration in force and the entries that lagging peers need.
+    """Holds the configuration in force and the log entries for lagging peers.
 
     Parameters
     ----------
     known : collection of (str, int), optional
-        The (kind, schema version) pairs that the process understands; default all registered.
+        The (kind, schema version) pairs that the process supports; all registered by default.
 
     Notes
     -----
-    Parts of the log arrive from the table and from any number of peers, late, twice and in any
-    order. Only what follows without a gap on the revision in force, or a whole configuration of a
-    higher revision, is applied; a process that took an older part would send requests by rules
-    that the operators have replaced.
+    Parts of the log arrive from the table and from any number of peers: late, duplicated and in any
+    order. Only a part that follows the revision in force without a gap, or a full configuration of
+    a higher revision, is applied. A process that applied an older part would handle requests by
+    rules that the operators have replaced.
     """
 
     def __init__(self, known: Collection[tuple[str, int]] | None = None):
@@ -109,12 +109,12 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force; 0 before there is any."""
+        """Revision in force; 0 if there is none yet."""
         return self._snapshot.revision
 
     @property
     def ready(self) -> bool:
-        """Whether there is a configuration."""
+        """Whether a configuration is in force."""
         return self.revision > 0
 
     @property
@@ -124,21 +124,22 @@
 
     @property
     def faults(self) -> list[RecordFault]:
-        """Faults of the records whose latest form this process cannot read."""
+        """Faults of the records whose latest version this process cannot decode."""
         return [fault for faults in self._faults.values() for fault in faults]
 
     def apply(self, part: LogPart, now: float) -> ApplyOutcome:
-        """Take in a part of the log as far as it is newer than what is in force.
+        """Apply the entries of a part of the log that are newer than what is in force.
 
         Notes
         -----
-        The table may return from a copy and lose changes that are in force here, and the log goes
-        on from the copy. What was in force stays so until the log has a newer word on the record:
-        a lost change is not undone, and a record that was withdrawn does not come back.
+        The table may be restored from a copy and lose changes that are in force here, and the log
+        continues from the copy. What was in force stays in force until the log has a newer entry
+        for the record: a lost change is not undone, and a withdrawn record is not put in force
+        again.
         """
         self._fetch_after = -float("inf")
         if part.whole:
-            return self._apply_whole(part, now)
+            return self._apply_full(part, now)
         newer = [entry for entry in part.entries if entry.revision > self.revision]
         if not newer:
             return self._outcome(ApplyStatus.NOT_NEWER)
@@ -147,39 +148,41 @@
             return self._outcome(ApplyStatus.GAP)
         if [entry.revision for entry in newer] != list(expected):
             return self._outcome(ApplyStatus.MALFORMED)
-        faults = self._put_in_force(newer, newer[-1].revision, now)
+        faults = self._apply_entries(newer, newer[-1].revision, now)
         self._recent.extend(newer)
         return self._outcome(ApplyStatus.APPLIED, len(newer), faults)
 
     def log_after(self, revision: int) -> LogPart:
-        """Return what a peer at ``revision`` is missing: the next entries, or the whole."""
+        """Return what a peer at ``revision`` lacks: the next entries or the full configuration."""
         if revision >= self.revision:
             return LogPart(revision, [], False, self.revision)
         if self._recent and self._recent[0].revision <= revision + 1:
             behind = (entry for entry in self._recent if entry.revision > revision)
-            return LogPart(revision, _cut(behind, PART_BYTES), False, self.revision)
+            return LogPart(
+                revision, _take_fitting(behind, LOG_PART_LIMIT_BYTES), False, self.revision
+            )
         known = [*self._entries.values(), *self._withdrawn.values()]
         entries = sorted(known, key=lambda entry: entry.revision)
-        if sum(map(_size, entries)) > WHOLE_BYTES:
-            # Too large for a message: the peer sees the head without entries, reads the table.
+        if sum(map(_size, entries)) > FULL_CONFIGURATION_LIMIT_BYTES:
+            # Too large for a message: the peer gets the head without entries and reads the table.
             return LogPart(revision, [], False, self.revision)
         return LogPart(0, entries, True, self.revision, list(self._forks))
 
     def should_fetch(self, revision: int, now: float) -> bool:
-        """Return whether to ask a peer that has ``revision`` in force for its log.
+        """Return whether to request the log of a peer that has ``revision`` in force.
 
         Notes
         -----
-        A process hears of a new revision from all its peers nearly at once. Asking each of them
-        would multiply the traffic of every change by the number of connections, so one is asked,
-        and the next one only if no answer has come for ``FETCH_RETRY_S``.
+        All peers of a process report a new revision at nearly the same time. Requesting the log
+        from each of them would multiply the traffic of every change by the number of connections,
+        so one is asked, and the next one only after ``FETCH_RETRY_S`` without an answer.
         """
         if revision <= self.revision or now < self._fetch_after:
             return False
         self._fetch_after = now + FETCH_RETRY_S
         return True
 
-    def _apply_whole(self, part: LogPart, now: float) -> ApplyOutcome:
+    def _apply_full(self, part: LogPart, now: float) -> ApplyOutcome:
         if part.head <= self.revision:
             return self._outcome(ApplyStatus.NOT_NEWER)
         if any(
@@ -190,7 +193,7 @@
         floor = fork.kept if fork is not None else 0
         entries = {(entry.kind, entry.name): entry for entry in part.entries}
         kept = self._find_kept(entries, floor) if fork is not None else set()
-        gone = [
+        removed = [
             attrs.evolve(entry, revision=part.head, bodies={})
             for key, entry in self._entries.items()
             if key not in entries and key not in kept
@@ -201,7 +204,7 @@
             if key not in kept and self._entries.get(key) != entry
         ]
         self._forks = list(part.forks)
-        faults = self._put_in_force(gone + changed, part.head, now)
+        faults = self._apply_entries(removed + changed, part.head, now)
         self._recent.clear()
         names = tuple(sorted(f"{kind}/{name}" for kind, name in kept))
         return attrs.evolve(self._outcome(ApplyStatus.APPLIED, len(changed), faults), kept=names)
@@ -209,35 +212,37 @@
     def _find_kept(
         self, entries: dict[tuple[str, str], LogEntry], floor: int
     ) -> set[tuple[str, str]]:
-        """Return the records on which the log has no word behind ``floor``, and lost one."""
+        """Return the records with a lost change and no newer entry after ``floor`` in the log."""
         lost = {key for key, entry in self._entries.items() if entry.revision > floor}
-        come_back = {
+        reappeared = {
             key
             for key, entry in entries.items()
             if entry.bodies and entry.revision <= floor and self._entries.get(key) != entry
         }
         newer = {key for key, entry in entries.items() if entry.revision > floor}
-        return (lost | come_back) - newer
+        return (lost | reappeared) - newer
 
-    def _put_in_force(
+    def _apply_entries(
         self, entries: Collection[LogEntry], revision: int, now: float
     ) -> tuple[RecordFault, ...]:
         fields = {FIELD_BY_KIND[entry.kind] for entry in entries if entry.kind in FIELD_BY_KIND}
         records = {field: dict(getattr(self._snapshot, field)) for field in fields}
-        faults = [fault for entry in entries for fault in self._take(entry, records)]
+        faults = [fault for entry in entries for fault in self._apply_entry(entry, records)]
         self._snapshot = attrs.evolve(self._snapshot, revision=revision, **records)
         self._applied_at = now
         return tuple(faults)
 
-    def _take(self, entry: LogEntry, records: dict[str, dict[str, Any]]) -> tuple[RecordFault, ...]:
-        """Take one entry into ``records``; return its faults."""
+    def _apply_entry(
+        self, entry: LogEntry, records: dict[str, dict[str, Any]]
+    ) -> tuple[RecordFault, ...]:
+        """Apply one entry to ``records``; return its faults."""
         key = (entry.kind, entry.name)
         self._faults.pop(key, None)
         self._withdrawn.pop(key, None)
         if not entry.bodies:
             self._entries.pop(key, None)
             if self._forks:
-                self._note_withdrawn(key, entry)
+                self._record_withdrawal(key, entry)
             records.get(FIELD_BY_KIND.get(entry.kind, ""), {}).pop(entry.name, None)
             return ()
         self._entries[key] = entry
@@ -245,13 +250,13 @@
         if isinstance(decoded, Ok):
             records[FIELD_BY_KIND[entry.kind]][entry.name] = decoded.ok_value
             return ()
-        # The last readable form of the record stays in force. Without it a process of the old
-        # release would lose the class or the route as soon as only the new schema is left.
+        # The last readable version of the record stays in force. Otherwise a process of the old
+        # release would drop the class or route as soon as only the new schema is left.
         self._faults[key] = tuple(decoded.err_value)
         return self._faults[key]
 
-    def _note_withdrawn(self, key: tuple[str, str], entry: LogEntry) -> None:
-        """Remember a withdrawal for peers that kept the record over a return of the table."""
+    def _record_withdrawal(self, key: tuple[str, str], entry: LogEntry) -> None:
+        """Store a withdrawal for peers that kept the record when the table was restored."""
         self._withdrawn[key] = entry
         if len(self._withdrawn) > RECENT_ENTRIES:
             self._withdrawn.pop(next(iter(self._withdrawn)))
@@ -266,37 +271,37 @@
     return 128 + sum(map(len, entry.bodies.values()))
 
 
-def _cut(entries: Iterable[LogEntry], limit: int) -> list[LogEntry]:
+def _take_fitting(entries: Iterable[LogEntry], limit: int) -> list[LogEntry]:
     """Return the first entries that fit into ``limit`` bytes, at least one."""
-    taken: list[LogEntry] = []
+    fitting: list[LogEntry] = []
     total = 0
     for entry in entries:
         total += _size(entry)
-        if taken and total > limit:
+        if fitting and total > limit:
             break
-        taken.append(entry)
-    return taken
+        fitting.append(entry)
+    return fitting
 
 
 def next_read_delay(
     poll_interval_s: float, table_read_budget: float, processes: int, rng: random.Random
 ) -> float:
-    """Return the time until this process reads the head revision again, seconds.
+    """Return the delay until this process reads the head revision again, seconds.
 
     Parameters
     ----------
     poll_interval_s : float
         Mean time between two reads, seconds.
     table_read_budget : float
-        Reads a second by all processes together.
+        Reads per second by all processes together.
     processes : int
-        Processes that read, as far as known.
+        Known number of processes that read.
     rng : random.Random
 
     Notes
     -----
-    The mean grows with the number of processes, so that all of them together stay in the budget.
-    The jitter of half the mean keeps processes that started together from reading together.
+    The mean grows with the number of processes, so that all of them together stay within the
+    budget. The jitter of half the mean keeps processes that started together from reading together.
 
     Examples
     --------
@@ -309,7 +314,7 @@
 
 
 class ConfigurationReader:
-    """Brings what the table has into a holder.
+    """Reads the record log in the table into a holder.
 
     Parameters
     ----------
@@ -322,12 +327,12 @@
         self.holder = holder
 
     async def read(self, now: float) -> Result[ApplyOutcome, TableError]:
-        """Read the head and, if it is newer, what is missing; one read if nothing is new.
+        """Read the head and, if it is newer, the missing entries; one read if nothing is new.
 
         Returns
         -------
         Result of ApplyOutcome, TableError
-            An error leaves in force what there was.
+            On an error the configuration in force is unchanged.
         """
         head = await self.log.head()
         if isinstance(head, Err):
@@ -336,4 +341,4 @@
         if head.ok_value <= revision:
             return Ok(ApplyOutcome(ApplyStatus.NOT_NEWER, revision))
         part = await (self.log.read_after(revision) if revision else self.log.read_all())
-        return part.map(lambda taken: self.holder.apply(taken, now))
+        return part.map(lambda received: self.holder.apply(received, now))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_load_turns.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_load_turns.py
@@ -1,4 +1,4 @@
-"""Turns for loads from the weight store, shared by the slots of all VMs."""
+"""Limit on concurrent loads from the weight store, shared by the slots of all VMs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class LoadTurns:
-    """A fixed number of leases, one of which a slot holds while it lets its engine load.
+    """Distributed semaphore: a fixed number of leases (turns), one held per engine load.
 
     Parameters
     ----------
@@ -28,17 +28,17 @@
     holder : str
         Incarnation of the slot.
     rng : random.Random
-        Spreads the slots over the turns.
+        Distributes the slots over the turns.
     turns : int
-        Loads that the weight store serves at a time.
+        Loads that the weight store serves concurrently.
     duration_s : float
-        Duration of the lease of a turn, seconds. A turn that is kept at least so long bounds the
-        loads to ``turns / duration_s`` a second.
+        Duration of the lease of a turn, seconds. Each turn is kept at least for this time, which
+        limits the loads to ``turns / duration_s`` per second.
 
     Notes
     -----
-    A holder that is paused past its lease may load beside the next one. That costs the weight
-    store one load too many for a while and nothing else, so no fencing is needed here.
+    A holder that is paused past the end of its lease may load concurrently with the next holder.
+    The only effect is one load too many on the weight store for a while, so no fencing is needed.
 
     References
     ----------
@@ -64,10 +64,10 @@
         self.turns = turns
         self.duration_s = duration_s
         check_parameters(self)
-        self._ended: list[tuple[float, Lease]] = []
+        self._pending_releases: list[tuple[float, Lease]] = []
 
     async def take(self, now: float) -> Result[Lease, LeaseHeld]:
-        """Take one of the turns, drawn at random, if it is free.
+        """Acquire a randomly chosen turn if it is free.
 
         Parameters
         ----------
@@ -76,19 +76,19 @@
 
         Notes
         -----
-        Only one turn is looked at in each try: thousands of slots that wait for a turn would
-        otherwise read every row of the turns each time.
+        Each call tries only one turn: otherwise thousands of slots that wait for a turn would read
+        the rows of all turns each time.
         """
         name = f"{TURN_PREFIX}{self.rng.randrange(self.turns)}"
         return await self.leases.acquire(name, self.holder, self.duration_s, now)
 
     def keep_until_due(self, lease: Lease, taken_at: float) -> None:
-        """Give a turn back once it has lasted its duration; :meth:`tend` does so."""
-        self._ended.append((taken_at + self.duration_s, lease))
+        """Schedule the release of a turn at the end of its duration; see :meth:`tend`."""
+        self._pending_releases.append((taken_at + self.duration_s, lease))
 
     async def tend(self, now: float) -> None:
-        """Give back the turns that are due. One that cannot be given back expires."""
-        due = [lease for due_at, lease in self._ended if due_at <= now]
-        self._ended = [part for part in self._ended if part[0] > now]
+        """Release the turns that are due. A turn that cannot be released expires."""
+        due = [lease for due_at, lease in self._pending_releases if due_at <= now]
+        self._pending_releases = [part for part in self._pending_releases if part[0] > now]
         for lease in due:
             await self.leases.release(lease)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_membership.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_membership.py
@@ -1,4 +1,4 @@
-"""Which slots an entry keeps connections to, and which of them take new work."""
+"""Slots that an entry keeps connections to, and which of them accept new work."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 from ._subsets import choose_subset
 
-RECONNECT_FIRST_S = 0.1
-"""Longest wait before the first attempt to connect, seconds."""
+RECONNECT_BASE_S = 0.1
+"""Upper bound of the delay before the first attempt to connect, seconds."""
 
 RECONNECT_MAX_S = 5.0
-"""Longest wait between two attempts to connect, seconds."""
+"""Upper bound of the delay between two attempts to connect, seconds."""
 
-STABLE_S = 2.0
-"""A connection that lasted so long, in seconds, counts as a success."""
+STABLE_CONNECTION_S = 2.0
+"""Duration from which a connection counts as successful, seconds."""
 
-LOST_AFTER_S = 3.0
-"""Time without a connection after which another slot is taken besides, seconds."""
+UNREACHABLE_AFTER_S = 3.0
+"""Time without a connection after which another slot is used in addition, seconds."""
 
 
 @attrs.frozen
 class MemberView:
-    """A slot as the status shows it.
+    """A slot as reported by the status page.
 
     Parameters
     ----------
     vm : str
     incarnation : str
-        Of the present or last connection, empty if there was none.
+        Incarnation of the current or last connection, empty if there was none.
     connected, leaving : bool
     """
 
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class MembershipChange:
-    """What a reading of the VM list changed, as names of VMs."""
+    """Changes found by a read of the VM list, as names of VMs."""
 
     appeared: tuple[str, ...] = ()
     vanished: tuple[str, ...] = ()
@@ -53,7 +53,7 @@
 
 @attrs.define
 class _Member:
-    """What is known of one VM."""
+    """State of one VM."""
 
     entry: VmEntry
     listed: bool = True
@@ -61,7 +61,7 @@
     connected_at: float | None = None
     failures: int = 0
     failing_since: float | None = None
-    left: frozenset[str] = frozenset()
+    leaving_incarnations: frozenset[str] = frozenset()
 
     @property
     def connected(self) -> bool:
@@ -69,29 +69,29 @@
 
     @property
     def leaving(self) -> bool:
-        said = bool(self.incarnation) and self.incarnation in self.left
-        return said or self.entry.state is VmState.LEAVING
+        announced = bool(self.incarnation) and self.incarnation in self.leaving_incarnations
+        return announced or self.entry.state is VmState.LEAVING
 
-    def lost(self, now: float) -> bool:
+    def is_unreachable(self, now: float) -> bool:
         since = self.failing_since
-        return not self.connected and since is not None and now - since >= LOST_AFTER_S
+        return not self.connected and since is not None and now - since >= UNREACHABLE_AFTER_S
 
 
 class MembershipBook:
-    """What an entry knows of the VMs: from the list, and from its own connections.
+    """Tracks the VMs of an entry, from the VM list and from the entry's own connections.
 
     Parameters
     ----------
     own_vm : str
-        Name of the VM of this process.
+        Name of this process's VM.
 
     Notes
     -----
-    The list of the platform lags, so it serves for discovery only. A VM that the list no longer
-    shows is kept while its connection lives; one that the list still shows is not used while there
-    is no connection. Either the list or the slot itself may say first that a VM leaves, and
-    either is enough. A word of leaving belongs to the incarnation that said it: a process that
-    started again on the same VM or address is another member.
+    The platform's list lags, so it is used for discovery only. A VM that is no longer listed is
+    kept while its connection lasts; a listed VM is not used while there is no connection. Either
+    the list or the slot itself may report first that a VM is shutting down, and either report is
+    sufficient. The report of a slot applies only to the incarnation that sent it: a process that
+    has restarted on the same VM or address is another member.
     """
 
     def __init__(self, own_vm: str):
@@ -100,7 +100,7 @@
 
     @property
     def processes(self) -> int:
-        """Number of VMs in the list as last read, at least 1."""
+        """Number of VMs in the last read of the list, at least 1."""
         return max(1, sum(member.listed for member in self._members.values()))
 
     @property
@@ -113,7 +113,7 @@
         ]
 
     def update_list(self, entries: Iterable[VmEntry], now: float) -> MembershipChange:
-        """Take in a reading of the VM list. While it cannot be read, nothing needs to be called."""
+        """Apply a read of the VM list. While the list cannot be read, no call is needed."""
         listed = {entry.vm: entry for entry in entries}
         appeared = tuple(sorted(listed.keys() - self._members.keys()))
         leaving = []
@@ -127,21 +127,21 @@
         vanished = tuple(vm for vm in missing if self._members[vm].listed)
         for vm in missing:
             self._members[vm].listed = False
-            self._forget_if_gone(vm)
+            self._drop_if_unused(vm)
         return MembershipChange(appeared, vanished, tuple(sorted(leaving)))
 
     def learn(self, entry: VmEntry, now: float) -> None:
-        """Add a slot that was found without the list, by an address in the settings."""
+        """Add a slot that is not from the list but from an address in the settings."""
         self._members.setdefault(entry.vm, _Member(entry, listed=False))
 
     def connected(self, vm: str, incarnation: str, now: float) -> bool:
-        """Record a connection; ``vm`` is the name that the other side gave in the handshake.
+        """Record a connection; ``vm`` is the name that the peer sent in the handshake.
 
         Returns
         -------
         bool
             False if no VM of that name is known. The address then belongs to a VM that has
-            replaced the one that was dialled: close the connection, and wait for the list.
+            replaced the one that was dialled: close the connection and wait for the list.
         """
         member = self._members.get(vm)
         if member is None:
@@ -152,19 +152,19 @@
         return True
 
     def disconnected(self, vm: str, incarnation: str, now: float) -> None:
-        """Record the end of a connection; one of an earlier incarnation changes nothing."""
+        """Record the end of a connection; one of an earlier incarnation is ignored."""
         member = self._members.get(vm)
         if member is None or member.incarnation != incarnation or member.connected_at is None:
             return
-        # A slot that accepts and closes at once must not be dialled without pause.
-        stable = now - member.connected_at >= STABLE_S
+        # A slot that accepts and closes immediately must not be dialled without a delay.
+        stable = now - member.connected_at >= STABLE_CONNECTION_S
         member.failures = 1 if stable else member.failures + 1
         member.connected_at = None
         member.failing_since = now
-        self._forget_if_gone(vm)
+        self._drop_if_unused(vm)
 
     def connect_failed(self, vm: str, now: float) -> None:
-        """Record an attempt to connect that failed."""
+        """Record a failed attempt to connect."""
         member = self._members.get(vm)
         if member is None or member.connected:
             return
@@ -173,13 +173,13 @@
             member.failing_since = now
 
     def said_leaving(self, vm: str, incarnation: str, now: float) -> None:
-        """Record that a slot said itself that it takes no new work."""
+        """Record that a slot has announced that it accepts no new work."""
         member = self._members.get(vm)
         if member is not None:
-            member.left |= {incarnation}
+            member.leaving_incarnations |= {incarnation}
 
     def targets(self, group: GroupRecord, now: float) -> list[VmEntry]:
-        """Return the slots of a group to be connected to, by name.
+        """Return the slots of a group to connect to, sorted by name.
 
         Parameters
         ----------
@@ -189,14 +189,14 @@
         Returns
         -------
         list of VmEntry
-            The fixed subset of the group, and for each of it that is lost one more. A connection
-            to a slot that is not among them is closed once nothing runs over it.
+            The fixed subset of the group, and one more slot for each member of the subset that is
+            unreachable. A connection to any other slot is closed once nothing runs over it.
 
         Notes
         -----
-        With a failure domain a whole part of the subset is lost at once, while the list goes on
-        showing it. Others are taken in its place; the lost ones are still dialled, so that the
-        fixed subset is in use again as soon as the domain is back.
+        If a failure domain fails, a part of the subset becomes unreachable at once while the list
+        still shows it. Other slots are used instead. The unreachable ones are still dialled, so
+        that the fixed subset is in use again as soon as the domain recovers.
         """
         members = [
             member
@@ -206,7 +206,7 @@
             and not member.leaving
         ]
         fixed = choose_subset(self.own_vm, [member.entry for member in members], group.subset)
-        healthy = [member.entry for member in members if not member.lost(now)]
+        healthy = [member.entry for member in members if not member.is_unreachable(now)]
         present = choose_subset(self.own_vm, healthy, group.subset)
         chosen = {entry.vm: entry for entry in [*fixed, *present]}
         return [chosen[vm] for vm in sorted(chosen)]
@@ -217,26 +217,26 @@
         return member is not None and member.connected and not member.leaving
 
     def incarnation(self, vm: str) -> str:
-        """Return the incarnation of the present or last connection, empty if there was none."""
+        """Return the incarnation of the current or last connection, empty if there was none."""
         member = self._members.get(vm)
         return member.incarnation if member else ""
 
     def reconnect_delay(self, vm: str, rng: random.Random, now: float) -> float:
-        """Return how long to wait before the next attempt to connect, seconds.
+        """Return the delay before the next attempt to connect, seconds.
 
         Notes
         -----
-        The bound doubles with each failure up to ``RECONNECT_MAX_S``, and the wait is drawn evenly
-        below it. When a failure domain or an entry's network returns, thousands of attempts are
-        due; without the draw they would arrive together, time out together and come again
-        together.
+        The bound doubles with each failure up to ``RECONNECT_MAX_S``, and the delay is uniformly
+        distributed below it. When a failure domain or an entry's network recovers, thousands of
+        attempts are due; without the jitter they would arrive together, time out together and be
+        repeated together.
         """
         member = self._members.get(vm)
         failures = min(member.failures, 16) if member else 0
-        bound = min(RECONNECT_MAX_S, RECONNECT_FIRST_S * 2.0**failures)
+        bound = min(RECONNECT_MAX_S, RECONNECT_BASE_S * 2.0**failures)
         return rng.uniform(0.0, bound)
 
-    def _forget_if_gone(self, vm: str) -> None:
+    def _drop_if_unused(self, vm: str) -> None:
         member = self._members[vm]
         if not member.listed and not member.connected:
             del self._members[vm]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
@@ -1,4 +1,4 @@
-"""At most once, on the side of the entry: what became of an attempt, settled in the table."""
+"""At-most-once execution, entry side: the outcome of an attempt is settled in the table."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 )
 
 ROW_AGE_LIMIT_S = START_LIMIT_S / 2
-"""How much older than a request a row may be for the entry to rely on its staying, seconds."""
+"""Largest age of a row, relative to its request, at which it will not expire too early, seconds."""
 
 
 @attrs.frozen
 class OnceTicket:
-    """A request that runs at most once, as its entry keeps it.
+    """State that an entry keeps of a request that runs at most once.
 
     Parameters
     ----------
     organisation, key, digest : str
     started_at : float
-        When the request arrived, seconds since the epoch; each attempt carries it.
+        Arrival time of the request, seconds since the epoch; it is sent with each attempt.
     expected_version : int
-        Version of the claim row that the present attempt may replace.
+        Version of the claim row that the current attempt may replace.
     """
 
     organisation: str
@@ -47,18 +47,18 @@
 
 
 class SettledState(enum.Enum):
-    """What became of the attempts made for a ticket."""
+    """Outcome of the attempts made for a ticket."""
 
     NOT_RUN = "not_run"
-    """None of them ran or ever will; a new attempt may expect ``row_version``."""
+    """None of them has run or ever will; a new attempt may expect ``row_version``."""
     STORED = "stored"
-    """The request ran; ``answer`` is what the upstream said."""
+    """The request ran; ``answer`` is the answer of the upstream."""
     IN_PROGRESS = "in_progress"
-    """An attempt may be sent or running now."""
+    """An attempt may be about to be sent, or running."""
     UNKNOWN = "unknown"
-    """Whether an attempt ran cannot be known now."""
+    """It cannot be determined now whether an attempt ran."""
     KEY_REUSED = "key_reused"
-    """The key belongs to another request; this one did not run and never will."""
+    """The key was used for another request; this one has not run and never will."""
 
 
 SETTLED_KINDS = {
@@ -67,18 +67,18 @@
     SettledState.UNKNOWN: ErrorKind.OUTCOME_UNKNOWN,
     SettledState.KEY_REUSED: ErrorKind.KEY_REUSED,
 }
-"""The error kind of each state that carries no answer."""
+"""Error kind of each state that has no answer."""
 
 
 @attrs.frozen
 class Settled:
-    """What became of the attempts made for a ticket.
+    """Outcome of the attempts made for a ticket, with its data.
 
     Parameters
     ----------
     state : SettledState
     row_version : int
-        With ``NOT_RUN``: what the next attempt may expect.
+        With ``NOT_RUN``: the version that the next attempt may expect.
     answer : StoredAnswer or None
         With ``STORED``.
     detail : str
@@ -91,7 +91,7 @@
 
 
 class OnceResolver:
-    """Find out what became of an attempt, and rule out that it still starts.
+    """Determines the outcome of an attempt, and prevents it from starting later.
 
     Parameters
     ----------
@@ -99,10 +99,10 @@
 
     Notes
     -----
-    An entry that lost its slot cannot know whether the slot claimed, will claim, or is gone. It
-    writes a cancellation on the version that the attempt expected. If that takes effect, the
-    attempt can never claim, and "not run" is true for ever. If the slot was first, the row shows
-    it. While the table does not answer, the outcome is unknown, and nothing else is said.
+    An entry whose connection to the slot broke cannot know whether the slot has claimed, will claim
+    or has crashed. It writes a cancellation on the version that the attempt expected. If that takes
+    effect, the attempt can never claim, and "not run" holds permanently. If the slot was first, the
+    row shows it. While the table does not answer, the outcome is reported as unknown.
     """
 
     def __init__(self, claims: ClaimStore):
@@ -111,46 +111,47 @@
     def open_ticket(
         self, organisation: str, key: str, digest: str, started_at: float
     ) -> OnceTicket:
-        """Return the ticket of a request that has just arrived."""
+        """Return the ticket of a newly arrived request."""
         return OnceTicket(organisation, key, digest, started_at, self.claims.table.absent)
 
     async def settle(
         self, ticket: OnceTicket, clock: Callable[[], float], claim_lost: bool = False
     ) -> Settled:
-        """Settle a ticket after a lost peer, a refused claim or a timeout.
+        """Settle a ticket after a lost connection, a rejected claim or a timeout.
 
         Parameters
         ----------
         ticket : OnceTicket
         clock : callable
-            Returns the time in seconds since the epoch. It is asked again after each wait, since
+            Returns the time in seconds since the epoch. It is called again after each wait, since
             the process may have been paused in between.
         claim_lost : bool
-            Whether the slot said ``CLAIM_LOST``: the row has changed, so that reading it
-            is enough and the write is saved.
+            Whether the slot reported ``CLAIM_LOST``: the row has changed, so that reading it is
+            sufficient and no write is needed.
         """
-        found = await self._find(ticket, clock(), claim_lost)
+        found = await self._cancel_or_read(ticket, clock(), claim_lost)
         if found.is_err():
-            if claim_lost and self._has_returned_since(ticket.expected_version):
-                # The slot refused for the return alone, and the table lacks the row.
+            if claim_lost and self._was_table_restored_since(ticket.expected_version):
+                # The slot rejected the attempt only because the table was restored from a copy,
+                # and the table has no row.
                 return Settled(SettledState.NOT_RUN, self.claims.table.absent)
             return Settled(SettledState.UNKNOWN, detail=found.err().detail)
         if clock() - ticket.started_at >= START_LIMIT_S:
-            # After a long pause the row may have expired, and a row that is missing then does
-            # not show that nothing ran.
+            # After a long pause the row may have expired, so a missing row is no evidence that
+            # nothing ran.
             return Settled(SettledState.UNKNOWN, detail="the entry was paused for too long")
         row = found.ok().row
         if not claim_lost and era_of(row.version) > era_of(ticket.expected_version):
-            return await self._judge_after_return(ticket, row, clock())
+            return await self._interpret_row_of_later_era(ticket, row, clock())
         if not claim_lost and row.written_at < ticket.started_at - ROW_AGE_LIMIT_S:
-            kept = await self._keep(ticket, row, clock())
-            if kept.is_err():
-                return Settled(SettledState.UNKNOWN, detail=kept.err().detail)
-            row = kept.ok()
-        return await self._judge(ticket, row, clock())
+            extended = await self._extend_row(ticket, row, clock())
+            if extended.is_err():
+                return Settled(SettledState.UNKNOWN, detail=extended.err().detail)
+            row = extended.ok()
+        return await self._interpret_row(ticket, row, clock())
 
     async def check_repeat(self, ticket: OnceTicket, clock: Callable[[], float]) -> Settled:
-        """Read what is known of a key without any attempt having been made.
+        """Read the state of a key for which this entry has made no attempt.
 
         Returns
         -------
@@ -163,25 +164,27 @@
         row = read.ok()
         if row is None:
             return Settled(SettledState.NOT_RUN, self.claims.table.absent)
-        return await self._judge(ticket, row, clock())
+        return await self._interpret_row(ticket, row, clock())
 
-    def _has_returned_since(self, version: int) -> bool:
+    def _was_table_restored_since(self, version: int) -> bool:
         return self.claims.table.era > era_of(version)
 
-    async def _judge_after_return(self, ticket: OnceTicket, row: ClaimRow, now: float) -> Settled:
-        """Judge an attempt by a row of a later era, which may lack the claim of the attempt.
+    async def _interpret_row_of_later_era(
+        self, ticket: OnceTicket, row: ClaimRow, now: float
+    ) -> Settled:
+        """Interpret a row of a later era, which may lack the claim of the attempt.
 
         Notes
         -----
-        Only what the row says of this request counts. A cancellation, or another request under the
-        key, says nothing of a claim that the table has lost.
+        Only an outcome of this request counts. A cancellation, or another request with the key, is
+        no evidence about a claim that the table has lost.
         """
         if row.digest == ticket.digest and row.state is not ClaimState.CANCELLED:
-            return await self._judge(ticket, row, now)
-        detail = "the table returned from a copy after the attempt was made"
+            return await self._interpret_row(ticket, row, now)
+        detail = "the table was restored from a copy after the attempt was made"
         return Settled(SettledState.UNKNOWN, detail=detail)
 
-    async def _find(
+    async def _cancel_or_read(
         self, ticket: OnceTicket, now: float, claim_lost: bool
     ) -> Result[CancelOutcome, TableError]:
         if claim_lost:
@@ -191,23 +194,23 @@
             row = read.ok()
             if row is not None and row.version > ticket.expected_version:
                 return Ok(CancelOutcome(False, row))
-            if self._has_returned_since(ticket.expected_version):
-                detail = "no attempt of an earlier era can claim any more"
+            if self._was_table_restored_since(ticket.expected_version):
+                detail = "attempts of an earlier era can no longer claim"
                 return Err(TableError(TableErrorKind.CONFLICT, detail))
         return await self.claims.cancel(
             ticket.organisation, ticket.key, ticket.expected_version, ticket.digest, now
         )
 
-    async def _keep(
+    async def _extend_row(
         self, ticket: OnceTicket, row: ClaimRow, now: float
     ) -> Result[ClaimRow, TableError]:
-        """Make an old row stay until the attempt that it shuts out can start no more.
+        """Extend the life of an old row until the attempt that it prevents can no longer start.
 
         Notes
         -----
-        An attempt that waits in a paused slot fails because the row is there. A row that
-        expires first, or was written long ago by a process paused at the write, would let it run
-        although the caller was told that it did not.
+        An attempt that waits in a paused slot fails because the row exists. A row that expires
+        first, or was written with an old time by a process that was paused at the write, would let
+        the attempt run although the caller has received the answer that it did not run.
         """
         if row.state is not ClaimState.RUNNING:
             return await self.claims.refresh(ticket.organisation, ticket.key, row, now)
@@ -216,7 +219,7 @@
         detail = "another request with the key left no outcome"
         return Err(TableError(TableErrorKind.CONFLICT, detail))
 
-    async def _judge(self, ticket: OnceTicket, row: ClaimRow, now: float) -> Settled:
+    async def _interpret_row(self, ticket: OnceTicket, row: ClaimRow, now: float) -> Settled:
         if row.digest != ticket.digest:
             detail = "the key was first used with another request"
             return Settled(SettledState.KEY_REUSED, detail=detail)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
@@ -1,4 +1,4 @@
-"""At most once, on the side of the slot: the claim before anything is sent upstream."""
+"""At-most-once execution, slot side: the claim is written before a request is sent upstream."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class OnceGuard:
-    """Guard of the upstream: lets each claimed attempt through once.
+    """Allows each claimed attempt to be sent upstream once.
 
     Parameters
     ----------
@@ -44,9 +44,10 @@
 
     Notes
     -----
-    The slot is the only sender of its attempts. What it refuses here it never sends, so it may say
-    "not run" of an attempt even while the table does not tell whether the claim was written; the
-    claim is then withdrawn in the background, so that a repeat does not find it running for ever.
+    The slot is the only sender of its attempts. An attempt that is rejected here is never sent, so
+    the slot may report "not run" even if it is uncertain whether the claim was written. The claim
+    is then withdrawn in the background, so that a repeated request does not find it in state
+    running forever.
 
     Examples
     --------
@@ -54,7 +55,7 @@
 
         begun = await guard.begin(run, clock)
         if begun.is_err():
-            return begun.err()  # NotRun: goes to the entry as it is
+            return begun.err()  # NotRun: sent to the entry unchanged
         claim = begun.ok()
         ...  # send once; never again, whatever happens
         await guard.finish(claim, answer)
@@ -76,17 +77,17 @@
         ----------
         run : Run
         clock : callable
-            Returns the time in seconds since the epoch. It is asked again after the claim,
-            since the process may have been paused in between.
+            Returns the time in seconds since the epoch. It is called again after the claim, since
+            the process may have been paused in between.
 
         Returns
         -------
         Result of Claim, NotRun
-            With a claim the request must be sent at once, and never again. ``CLAIM_LOST``: another
-            attempt or a cancellation was first; the entry settles it.
+            With a claim the request must be sent immediately, and only once. ``CLAIM_LOST``:
+            another attempt or a cancellation was first; the entry settles the outcome.
         """
         if not self.outcomes.has_room:
-            detail = "too many outcomes wait for the table service"
+            detail = "too many outcomes are waiting for the table service"
             return _refuse(run, ErrorKind.TABLE_UNAVAILABLE, detail)
         era = era_of(run.expected_version)
         if not await self.eras.admits(era):
@@ -100,24 +101,24 @@
         if claimed.is_err():
             return self._refuse_claim(run, request, claimed.err())
         claim = claimed.ok()
-        # A process that was paused during the claim could send after the caller was told that the
-        # outcome is unknown, or after the row expired. Late attempts are given up instead.
+        # A process that was paused during the claim could send the request after the caller got the
+        # answer that the outcome is unknown, or after the row expired. Late attempts are abandoned.
         if clock() >= claim.row.not_after or self.eras.has_waited(begun_at):
             await self.outcomes.abandon(claim)
             return _refuse(run, ErrorKind.DEADLINE_EXCEEDED, "the claim was confirmed too late")
         return Ok(claim)
 
     async def finish(self, claim: Claim, answer: StoredAnswer) -> Result[None, TableError]:
-        """Record the answer; on an error the outcome writer goes on trying."""
+        """Record the answer; on an error the outcome writer keeps retrying."""
         return await self.outcomes.complete(claim, answer)
 
     async def abandon(self, claim: Claim) -> Result[None, TableError]:
-        """Give up a claim whose request certainly was not sent, and never send it.
+        """Abandon a claim whose request certainly was not sent and never will be.
 
         Notes
         -----
-        Only for a connection that was never made, or an attempt cancelled before anything was
-        sent. Once bytes may have reached the upstream the row stays as it is.
+        Only for a connection that was never established, or an attempt cancelled before anything
+        was sent. Once bytes may have reached the upstream, the row must stay unchanged.
         """
         return await self.outcomes.abandon(claim)
 
@@ -140,15 +141,15 @@
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            # The caller's task ends here and nobody would know of a claim that is written after.
+            # The calling task ends here, and a claim written afterwards would go unnoticed.
             self.outcomes.withdraw(request)
             raise
 
     def _refuse_era(self, run: Run, era: int) -> Result[Claim, NotRun]:
         if era < self.eras.era:
-            detail = "the table returned from a copy since the attempt was made"
+            detail = "the table was restored from a copy since the attempt was made"
             return _refuse(run, ErrorKind.CLAIM_LOST, detail)
-        detail = "claims that the table lost may still be written again"
+        detail = "claims that the table has lost may still be restored"
         return _refuse(run, ErrorKind.TABLE_UNAVAILABLE, detail)
 
     def _refuse_claim(
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_orders.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: each placement record is acted on at most once by each engine."""
+"""Orders to engines: each engine executes each placement record at most once."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
 from ._outcomes import OutcomeWriter
 
 LOAD_PREFIX = "load_"
-"""Start of the names of orders that read from the weight store."""
+"""Prefix of the names of orders that load from the weight store."""
 
-_RENEWALS = 3
+_RENEWALS_PER_LEASE = 3
 _STATUS_DONE = 200
 
 
 @attrs.frozen
 class EngineOrder:
-    """An order as it goes to an engine.
+    """An order as sent to an engine.
 
     Parameters
     ----------
     order_id : str
-        The same for every try to carry out one record on one engine.
+        The same for every attempt to execute one record on one engine.
     order, argument : str
         As in the placement record.
     fencing : int
@@ -60,13 +60,14 @@
 
 @attrs.frozen
 class OrderFailure:
-    """An order that was not confirmed.
+    """Failure of an order that was not confirmed.
 
     Parameters
     ----------
     detail : str
     acted : bool
-        False only if the engine certainly did not act: it was not reached, or it refused.
+        False only if the engine certainly did not act: it was not reached, or it rejected the
+        order.
     """
 
     detail: str
@@ -74,28 +75,28 @@
 
 
 class OrderTarget(ABC):
-    """An engine as the receiver of orders."""
+    """Interface to an engine that receives orders."""
 
     @abstractmethod
     async def send(self, order: EngineOrder) -> Result[None, OrderFailure]:
-        """Send an order once, without any repeat by a library."""
+        """Send an order once; libraries must not retry it."""
 
 
 class OrderState(enum.Enum):
-    """Where a placement record stands on one engine."""
+    """State of a placement record on one engine."""
 
     DONE = "done"
-    """The engine acted, and that is recorded."""
+    """The engine executed the order, and that is recorded."""
     STARTED = "started"
-    """It was sent, by this process or another, and has no outcome; it is not sent again."""
+    """Sent by this or another process, without a recorded outcome; it is not sent again."""
     WAITING = "waiting"
-    """Not sent yet: no lease, no turn, or the table or engine did not answer."""
+    """Not sent yet: no lease, no load turn, or the table or engine did not answer."""
 
 
 def order_id(record: PlacementRecord, engine: str) -> str:
     """Return the id of a record's order to one engine.
 
-    A record that is changed under its name is another order.
+    A changed record with the same name is a different order.
 
     Examples
     --------
@@ -109,12 +110,12 @@
 
 
 def concerns(record: PlacementRecord, group: str, vm: str) -> bool:
-    """Return whether a record is meant for the engine of a VM."""
+    """Return whether a record applies to the engine of a VM."""
     return record.group == group and (not record.vms or vm in record.vms)
 
 
 class OrderRunner:
-    """Carry out placement records on the engine beside this slot.
+    """Executes placement records on the engine of this slot.
 
     Parameters
     ----------
@@ -125,7 +126,7 @@
     turns : LoadTurns
     target : OrderTarget
     engine : str
-        Names the engine's life: the VM's name, since a replaced VM bears another.
+        Identifies the engine instance: the VM's name, since a replacement VM has another name.
     incarnation : str
         Incarnation of the slot.
     lease_s : float
@@ -133,10 +134,10 @@
 
     Notes
     -----
-    Two slots may stand beside one engine for a while: the one of a VM that is believed gone, and
-    its successor. The lease makes one of them wait. One that is paused past its lease may still
-    act; an engine that checks fencing numbers refuses its order, and for one that does not
-    the claim row of the order has let only one of them through.
+    Two slots may serve one engine for a while: the slot of a VM that is believed to be removed, and
+    its successor. The lease makes one of them wait. A slot that is paused past the end of its lease
+    may still send its order. An engine that checks fencing numbers rejects it; for other engines
+    the claim row of the order allows only one of the slots to send.
     """
 
     def __init__(
@@ -161,7 +162,7 @@
         self.incarnation = incarnation
         self.lease_s = lease_s
         self._settled: dict[str, OrderState] = {}
-        self._tries = 0
+        self._attempts = 0
 
     async def act(
         self,
@@ -169,7 +170,7 @@
         wall: Callable[[], float],
         clock: Callable[[], float],
     ) -> OrderState:
-        """Carry out a record unless that was done or begun before.
+        """Execute a record unless that was done or started before.
 
         Parameters
         ----------
@@ -180,7 +181,7 @@
         Returns
         -------
         OrderState
-            After ``WAITING`` the caller tries again later.
+            After ``WAITING`` the caller retries later.
         """
         await self.turns.tend(clock())
         name = order_id(record, self.engine)
@@ -191,12 +192,12 @@
             return OrderState.WAITING
         row = found.ok()
         if row is not None and row.state is not ClaimState.CANCELLED:
-            return self._settle(name, row)
+            return self._interpret_row(name, row)
         if not await self.eras.admits(self.claims.table.era):
             return OrderState.WAITING
         return await self._act_in_turn(record, name, row, wall, clock)
 
-    def _settle(self, name: str, row: ClaimRow) -> OrderState:
+    def _interpret_row(self, name: str, row: ClaimRow) -> OrderState:
         if row.state is ClaimState.DONE:
             self._settled[name] = OrderState.DONE
             return OrderState.DONE
@@ -217,13 +218,13 @@
         turn = await self.turns.take(taken_at)
         if turn.is_err():
             return OrderState.WAITING
-        keeper = _Keeper(self.leases, turn.ok())
-        renewing = asyncio.create_task(keeper.run(clock))
+        renewer = _LeaseRenewer(self.leases, turn.ok())
+        renewing = asyncio.create_task(renewer.run(clock))
         try:
             return await self._act_under_lease(record, name, row, wall, clock)
         finally:
             renewing.cancel()
-            self.turns.keep_until_due(keeper.lease, taken_at)
+            self.turns.keep_until_due(renewer.lease, taken_at)
 
     async def _act_under_lease(
         self,
@@ -278,21 +279,21 @@
     def _make_request(
         self, record: PlacementRecord, name: str, row: ClaimRow | None, now: float
     ) -> ClaimRequest:
-        self._tries += 1
+        self._attempts += 1
         return ClaimRequest(
             organisation=ORDER_ORGANISATION,
             key=name,
             expected_version=row.version if row else self.claims.table.absent,
-            attempt=self._tries,
-            attempt_id=f"{name}/{self._tries}",
+            attempt=self._attempts,
+            attempt_id=f"{name}/{self._attempts}",
             incarnation=self.incarnation,
             digest=record.order,
             not_after=now + START_LIMIT_S,
         )
 
 
-class _Keeper:
-    """Renews a lease for as long as an order takes."""
+class _LeaseRenewer:
+    """Renews a lease while an order is executed."""
 
     def __init__(self, leases: LeaseStore, lease: Lease):
         self.leases = leases
@@ -300,7 +301,7 @@
 
     async def run(self, clock: Callable[[], float]) -> None:
         while True:
-            await asyncio.sleep(self.lease.duration_s / _RENEWALS)
+            await asyncio.sleep(self.lease.duration_s / _RENEWALS_PER_LEASE)
             renewed = await self.leases.renew(self.lease, clock())
             if renewed.is_ok():
                 self.lease = renewed.ok()
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_outcomes.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes that the table could not take at once, kept and written until they are."""
+"""Writing of claim outcomes, with retries while the table is unavailable."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 )
 
 _FINAL_KINDS = {TableErrorKind.CONFLICT, TableErrorKind.INVALID}
-"""Errors that another try does not mend."""
+"""Error kinds for which a retry cannot succeed."""
 
 
 @attrs.frozen(eq=False)
 class _Job:
-    """A write that has to be made, and the bytes that it holds in memory."""
+    """A pending write, and the bytes that it keeps in memory."""
 
     size: int
     run: Callable[[float], Awaitable[Result[None, TableError]]]
 
 
 class OutcomeWriter:
-    """Write the outcomes of claims, again and again while the table is down.
+    """Writes the outcomes of claims, and retries while the table is unavailable.
 
     Parameters
     ----------
@@ -42,24 +42,25 @@
     clock : callable
         Returns the time in seconds since the epoch.
     max_jobs : int
-        Outcomes kept at most before no new claim is made.
+        Number of pending outcomes at which no new claims are made.
     max_bytes : int
-        Bytes of answers kept at most before no new claim is made.
+        Bytes of pending answers at which no new claims are made.
     retry_s : float
-        Time between two tries while the table is down, seconds.
+        Interval between two attempts while the table is unavailable, seconds.
 
     Attributes
     ----------
     retries : int
-        Writes that were tried again.
+        Number of retried writes.
     lost : int
-        Outcomes that the table refused for good.
+        Number of outcomes that the table rejected permanently.
 
     Notes
     -----
-    While the table is down, a request that ran leaves its row in state running, and each repeat
-    of the key hears that the outcome is not known. If the outcome were dropped, it would stay so
-    for ever. Memory is bounded at the other end: without room no new request is claimed.
+    While the table is unavailable, a request that has run leaves its row in state running, and each
+    repeat of the key gets the answer that the outcome is unknown. If the outcome were dropped, that
+    would never change. Memory is bounded at admission: no new request is claimed without room for
+    its outcome.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -92,20 +93,20 @@
 
     @property
     def pending(self) -> int:
-        """Outcomes that are not written yet."""
+        """Number of outcomes that are not written yet."""
         return len(self._jobs)
 
     @property
     def has_room(self) -> bool:
-        """Whether the outcome of one more request could be kept."""
+        """Whether there is room for the outcome of one more request."""
         return len(self._jobs) < self.max_jobs and self._bytes < self.max_bytes
 
     async def complete(self, claim: Claim, answer: StoredAnswer) -> Result[None, TableError]:
-        """Record an answer; an error means that the writer goes on trying.
+        """Record an answer; after an error the writer keeps retrying.
 
         Notes
         -----
-        A caller that is cancelled while it waits does not take the outcome back.
+        If the calling task is cancelled while it waits, the outcome is still written.
         """
         job = _Job(len(answer.body), lambda now: self.claims.complete(claim, answer, now))
         return await asyncio.shield(self._start(job))
@@ -116,11 +117,11 @@
         return await asyncio.shield(self._start(job))
 
     def withdraw(self, request: ClaimRequest) -> None:
-        """Cancel, in the background, a claim that may or may not be written."""
+        """Cancel, in the background, a claim that may or may not have been written."""
         self._start(_Job(0, lambda now: self.claims.withdraw(request, now)))
 
     async def flush(self) -> None:
-        """Wait until every outcome is written; the caller sets the limit."""
+        """Wait until all outcomes are written; the caller sets a timeout."""
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
@@ -152,7 +153,7 @@
         return result
 
     async def _work(self) -> None:
-        """Try one outcome at a time until the table takes it, then all others at once."""
+        """Retry one outcome at a time until a write succeeds, then all others concurrently."""
         while self._waiting:
             await asyncio.sleep(self.retry_s)
             probe = next(iter(self._waiting))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
@@ -3,7 +3,7 @@
 import pytest
 
 from burdockquay_coordination import HOLD_S
-from burdockquay_coordination._once_era import LOOK_PAUSE_S
+from burdockquay_coordination._once_era import ERA_POLL_INTERVAL_S
 from burdockquay_state import ClaimState
 
 from .once_world import World
@@ -55,7 +55,7 @@
     world.pass_time(HOLD_S)
     world.look(0)
     world.heal()
-    world.pass_time(LOOK_PAUSE_S)
+    world.pass_time(ERA_POLL_INTERVAL_S)
     again = repeat(world, slot=1, paused=None)
     assert first.told == again.told == "answer"
     assert first.answer == again.answer
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era_machine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era_machine.py
@@ -144,8 +144,8 @@
 class WithoutEraInAnswers(OnceResolver):
     """Takes a row of a later era for an answer to an attempt of an earlier one."""
 
-    async def _judge_after_return(self, ticket, row, now):
-        return await self._judge(ticket, row, now)
+    async def _interpret_row_of_later_era(self, ticket, row, now):
+        return await self._interpret_row(ticket, row, now)
 
 
 BROKEN = {
