--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_heap.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_heap.py
@@ -1,4 +1,4 @@
-"""A heap from which any item can be removed."""
+"""Heap with lazy removal of arbitrary items."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class Removable(Protocol):
-    """An item that knows whether it was removed."""
+    """An item with a flag that shows whether it was removed."""
 
     alive: bool
 
 
 class LazyHeap:
-    """Min-heap whose removed items are skipped instead of searched for.
+    """Min-heap with lazy deletion.
 
     Notes
     -----
-    Removing an item from the middle of a heap needs a search over all of it. Here the owner clears
-    the item's ``alive`` and calls :meth:`discard`; the item leaves when it reaches the top, or with
-    the rebuild that runs once more than half of the heap is dead. Push, pop and discard take
-    amortised logarithmic time.
+    Removing an item from the middle of a heap needs a linear search. Here the owner clears the
+    item's ``alive`` flag and calls :meth:`discard`. The item is dropped when it reaches the top, or
+    when the heap is rebuilt because more than half of its items are removed. Push, pop and discard
+    take amortised logarithmic time.
 
     Examples
     --------
@@ -45,7 +45,7 @@
         self._dead = 0
 
     def push(self, key: Any, item: Removable) -> None:
-        """Add an item; of equal keys the one pushed first comes first."""
+        """Add an item; items with equal keys keep the order in which they were pushed."""
         self._pushed += 1
         heapq.heappush(self._items, (key, self._pushed, item))
 
@@ -60,7 +60,7 @@
         return self._items[0][0] if self._items else None
 
     def discard(self) -> None:
-        """Note that one item of the heap was removed by its owner."""
+        """Record that the owner has removed one item of the heap."""
         self._dead += 1
         if self._dead * 2 > len(self._items) + 16:
             self._items = [entry for entry in self._items if entry[2].alive]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_organisation_use.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_organisation_use.py
@@ -1,4 +1,4 @@
-"""Which organisations use more of the upstreams than their weight allows."""
+"""Detection of organisations that use more of the upstreams than their weighted share."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class OrganisationUse:
-    """Generated tokens of each organisation over all classes, decayed over time.
+    """Exponentially decayed count of generated tokens by organisation, over all classes.
 
     Parameters
     ----------
     factor : float
-        An organisation is over its share above this many times the part that its weight gives it
-        among the organisations in use.
+        An organisation is over its share above this multiple of the fraction that its weight gives
+        it among the organisations with recent usage.
     slack_tokens : float
-        Tokens beyond that which every organisation has free, so that a few long answers of a
-        small organisation do not count as too much.
+        Additional tokens that every organisation may use, so that a few long answers of a small
+        organisation do not exceed its share.
     window_s : float
         Time constant of the decay, seconds.
 
@@ -60,7 +60,7 @@
         use.at = now
 
     def is_over(self, organisation: str, weights: Mapping[str, float], now: float) -> bool:
-        """Return whether an organisation has used more than its share lately.
+        """Return whether an organisation has recently used more than its share.
 
         Parameters
         ----------
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_prefixes.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_prefixes.py
@@ -1,4 +1,4 @@
-"""Which upstream has seen the start of a prompt lately."""
+"""Index of the prompt prefixes that were recently sent to each upstream."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 BLOCK_CHARACTERS = 256
 """Characters of a prompt in one block."""
 MAX_BLOCKS = 64
-"""Blocks of a prompt that are looked at."""
+"""Largest number of blocks of a prompt that are indexed."""
 
 
 class PrefixIndex:
-    """Remembers the blocks of prompts sent to each VM, the latest of them.
+    """LRU index of the prompt blocks sent to each VM.
 
     Parameters
     ----------
     blocks_per_vm : int
-        Blocks remembered for each VM; set it to what the upstream's cache holds.
+        Number of blocks kept for each VM; set it to the size of the upstream's cache.
 
     Notes
     -----
-    A block is named by a hash over the prompt from its start to the block's end, so that equal
-    names mean equal prefixes. The engines' cache events come late and with gaps; what this process
-    itself sent is known at once and is a good guess of what they hold.
+    A block is identified by a hash of the prompt from its start to the end of the block, so equal
+    hashes mean equal prefixes. Cache events of the engines arrive late and incompletely. What this
+    process itself has sent is known immediately and is a good estimate of the cache contents.
 
     Examples
     --------
@@ -38,10 +38,10 @@
 
     def __init__(self, blocks_per_vm: int):
         self.blocks_per_vm = blocks_per_vm
-        self._seen: dict[str, OrderedDict[int, None]] = {}
+        self._sent: dict[str, OrderedDict[int, None]] = {}
 
     def blocks(self, text: str) -> list[int]:
-        """Return the names of the whole blocks at the start of a prompt."""
+        """Return the hashes of the complete blocks at the start of a prompt."""
         count = min(len(text) // BLOCK_CHARACTERS, MAX_BLOCKS)
         digest = xxhash.xxh64()
         names = []
@@ -52,22 +52,22 @@
         return names
 
     def note(self, vm: str, blocks: Sequence[int], now: float) -> None:
-        """Note that a prompt was sent to a VM."""
-        seen = self._seen.setdefault(vm, OrderedDict())
+        """Record that a prompt was sent to a VM."""
+        sent = self._sent.setdefault(vm, OrderedDict())
         for block in reversed(blocks):
-            seen[block] = None
-            seen.move_to_end(block)
-        while len(seen) > self.blocks_per_vm:
-            seen.popitem(last=False)
+            sent[block] = None
+            sent.move_to_end(block)
+        while len(sent) > self.blocks_per_vm:
+            sent.popitem(last=False)
 
     def overlap(self, vm: str, blocks: Sequence[int]) -> int:
-        """Return how many leading blocks of a prompt the VM has seen."""
-        seen = self._seen.get(vm, ())
+        """Return the number of leading blocks of a prompt that were sent to the VM."""
+        sent = self._sent.get(vm, ())
         for count, block in enumerate(blocks):
-            if block not in seen:
+            if block not in sent:
                 return count
         return len(blocks)
 
     def forget(self, vm: str) -> None:
-        """Drop what is remembered of a VM."""
-        self._seen.pop(vm, None)
+        """Drop the blocks of a VM."""
+        self._sent.pop(vm, None)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_subsets.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_subsets.py
@@ -1,4 +1,4 @@
-"""Which slots an entry connects to."""
+"""Choice of the slots that an entry connects to."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def choose_subset(own_vm: str, members: Sequence[VmEntry], size: int) -> list[VmEntry]:
-    """Choose the members that a process connects to, evenly over the failure domains.
+    """Choose the members that a process connects to, spread evenly over the failure domains.
 
     Parameters
     ----------
     own_vm : str
-        Name of the VM of the process that chooses.
+        Name of the VM of the connecting process.
     members : sequence of VmEntry
     size : int
 
@@ -26,11 +26,12 @@
 
     Notes
     -----
-    Rendezvous hashing: each pair of chooser and member has a fixed score, and the highest scores
-    are taken. A member that comes or goes changes at most the choices it wins or held. To spread
-    over failure domains the members are ranked inside their domain, and all with a better rank are
-    taken before those with a worse one; of the last rank that does not fit whole, the domains with
-    the best scores for this chooser come first, so that no domain is favoured by all choosers.
+    Rendezvous hashing: each pair of process and member has a fixed score, and the members with the
+    highest scores are chosen. Adding or removing a member changes at most the choices that include
+    it. To spread over failure domains the members are ranked within their domain, and members of a
+    better rank are chosen before those of a worse one. If the last rank does not fit completely,
+    the domains with the best scores for this process are first, so that no domain is favoured by
+    all processes.
 
     References
     ----------
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_suspicion_store.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_suspicion_store.py
@@ -1,4 +1,4 @@
-"""Suspicions against requests in the table, for processes that start after a crash."""
+"""Storage of suspicions in the table, for processes that start after a crash."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     TableService,
 )
 
-PREFIX = "suspicion/"
-"""Start of the keys of the rows."""
+KEY_PREFIX = "suspicion/"
+"""Prefix of the row keys."""
 
-SAVE_TRIES = 3
-"""How often a row that another process changed meanwhile is tried again."""
+SAVE_ATTEMPTS = 3
+"""Attempts to write a row that other processes change concurrently."""
 
-RELOAD_S = 2.0
-"""Mean time between two tries to read the rows while the table is down, seconds."""
+RELOAD_INTERVAL_S = 2.0
+"""Mean interval between attempts to read the rows while the table is unavailable, seconds."""
 
 
 class SuspicionStore:
-    """Rows of the table that outlive the processes which saw an upstream crash.
+    """Stores suspicions in table rows that outlive the processes that detected a crash.
 
     Parameters
     ----------
@@ -39,16 +39,16 @@
 
     Notes
     -----
-    Processes tell each other of suspicions with their messages. If all of them are replaced, the
-    next caller's repeat would crash upstreams again; the rows keep that from happening. They are
-    written at crashes only, which are rare, and read once by each process at its start.
+    Processes exchange suspicions in messages. If all of them were replaced, the next repeat of the
+    request would crash upstreams again; the rows prevent that. They are written only at crashes,
+    which are rare, and read once by each process when it starts.
     """
 
     def __init__(self, table: TableService):
         self.table = table
 
     async def save(self, suspicions: Sequence[Suspicion], now: float) -> Result[None, TableError]:
-        """Write suspicions; figures of a row that knows more are kept."""
+        """Write suspicions; larger values in an existing row are kept."""
         for suspicion in suspicions:
             saved = await self._save_one(suspicion)
             if isinstance(saved, Err):
@@ -60,27 +60,27 @@
         found: list[Suspicion] = []
         after = ""
         while True:
-            page = await self.table.scan(PREFIX, after)
+            page = await self.table.scan(KEY_PREFIX, after)
             if isinstance(page, Err):
                 return page
             rows = page.ok()
             if not rows:
                 return Ok(found)
             after = rows[-1].key
-            found += await self._sort_out(rows, now)
+            found += await self._drop_expired(rows, now)
 
-    async def _sort_out(self, rows: list[Row], now: float) -> list[Suspicion]:
+    async def _drop_expired(self, rows: list[Row], now: float) -> list[Suspicion]:
         read = [(row, _decode(row)) for row in rows]
         for row, suspicion in read:
             if suspicion is None or suspicion.expires_at <= now:
-                # Conditional: a crash in this moment renews the row.
+                # Conditional on the version: a concurrent crash may renew the row.
                 await self.table.transact([Delete(row.key, row.version)])
         return [one for _, one in read if one is not None and one.expires_at > now]
 
     async def _save_one(self, suspicion: Suspicion) -> Result[None, TableError]:
-        key = PREFIX + suspicion.digest
+        key = KEY_PREFIX + suspicion.digest
         result: Result = Ok(None)
-        for _ in range(SAVE_TRIES):
+        for _ in range(SAVE_ATTEMPTS):
             rows = await self.table.get([key])
             if isinstance(rows, Err):
                 return rows
@@ -98,12 +98,12 @@
 async def load_until_read(
     store: SuspicionStore, clock: Callable[[], float], rng: random.Random
 ) -> list[Suspicion]:
-    """Return the suspicions in force, trying until the table answers."""
+    """Return the suspicions in force, retrying until the table answers."""
     while True:
         loaded = await store.load(clock())
         if isinstance(loaded, Ok):
             return loaded.ok()
-        await asyncio.sleep(RELOAD_S * rng.uniform(0.5, 1.5))
+        await asyncio.sleep(RELOAD_INTERVAL_S * rng.uniform(0.5, 1.5))
 
 
 def _merge(one: Suspicion, other: Suspicion | None) -> Suspicion:
@@ -122,9 +122,11 @@
 
 
 def _decode(row: Row) -> Suspicion | None:
-    """Return the suspicion of a row, None if the row cannot be read."""
+    """Return the suspicion of a row; None if the row cannot be decoded."""
     try:
         crashes, alone, expires_at = cbor2.loads(row.value)
-        return Suspicion(row.key.removeprefix(PREFIX), int(crashes), int(alone), float(expires_at))
+        return Suspicion(
+            row.key.removeprefix(KEY_PREFIX), int(crashes), int(alone), float(expires_at)
+        )
     except (cbor2.CBORDecodeError, ValueError, TypeError):
         return None
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_types.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_types.py
@@ -1,4 +1,4 @@
-"""Data that the decisions share."""
+"""Data types shared by the decision modules."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Waiting:
-    """A request that waits in a queue.
+    """A queued request.
 
     Parameters
     ----------
@@ -17,7 +17,7 @@
     enqueued_at, deadline : float
         Seconds on the clock of the process.
     begun : bool
-        Whether the caller has got a part of the answer already, so that this is another attempt.
+        Whether the caller has already received a part of the answer, so that this is a retry.
     """
 
     request: str
@@ -30,21 +30,21 @@
 
 @attrs.frozen
 class Work:
-    """An attempt that a slot was asked to run.
+    """An attempt that an entry has sent to a slot.
 
     Parameters
     ----------
     request : str
     attempt : int
     peer : str
-        Incarnation of the entry that asked.
+        Incarnation of the entry that sent it.
     organisation, class_name : str
     digest : str
         Digest of organisation, method, path and body.
     deadline : float
         Seconds on the clock of the slot.
     apart : bool
-        Must run beside no other suspect.
+        Whether it must not run concurrently with another suspect.
     """
 
     request: str
@@ -59,17 +59,17 @@
 
 @attrs.frozen
 class PlaceGrant:
-    """A place promised to an entry.
+    """A place reserved for an entry.
 
     Parameters
     ----------
     grant : int
-        Number of the grant, from 1, never used again by the slot.
+        Number of the grant, from 1; the slot never reuses it.
     peer : str
         Incarnation of the entry.
     class_name : str
     expires_at : float
-        Seconds on the clock of the slot; the place is free again after it.
+        Seconds on the clock of the slot; the place is free again from this time.
     """
 
     grant: int
@@ -80,7 +80,7 @@
 
 @attrs.frozen
 class SlotCounts:
-    """How many attempts a slot holds, by their state."""
+    """Number of attempts on a slot by state."""
 
     running: int
     paused: int
@@ -91,27 +91,27 @@
 
 @attrs.frozen
 class Candidate:
-    """A slot as an entry sees it when it places a request.
+    """A slot as a candidate for the placement of a request by an entry.
 
     Parameters
     ----------
     vm, failure_domain : str
     places : int
-        Places of the upstream.
+        Number of places of the upstream.
     outstanding : int
-        Attempts that this entry has running there.
+        Number of attempts of this entry that are outstanding there.
     reported : int
-        Running and queued attempts in the slot's latest status, all entries together.
+        Number of running and queued attempts of all entries in the slot's latest status.
     report_age_s : float
         Age of that status, seconds.
     outstanding_at_report : int
-        Attempts of this entry that were outstanding there when the status came.
+        Number of attempts of this entry that were outstanding there when the status arrived.
     step_s : float
         Recent time between tokens there, seconds; 0 if unknown.
     weight : float
-        From 0 (ejected) to 1 (as good as its peers), from the health monitor.
+        Weight of the health monitor, from 0 (ejected) to 1 (as good as the others).
     prefix_overlap : int
-        Leading blocks of the prompt that were sent there lately.
+        Number of leading blocks of the prompt that were recently sent there.
     """
 
     vm: str
@@ -128,18 +128,18 @@
 
 @attrs.frozen
 class PlacementRequest:
-    """What a placement policy knows of a request.
+    """Properties of a request that placement policies use.
 
     Parameters
     ----------
     class_name : str
     protected : bool
     failure_domain : str
-        Of the entry.
+        Failure domain of the entry.
     prefix_blocks : int
         Length of the prompt in blocks; 0 for plain services.
     avoid : frozenset of str
-        VMs where the request failed before; taken only if nothing else is left.
+        VMs where the request failed before; chosen only if nothing else is left.
     """
 
     class_name: str
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_usage.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_usage.py
@@ -1,4 +1,4 @@
-"""What organisations and classes used, wasted and were refused, and whether targets were met."""
+"""Usage, waste, refusals and latency target attainment by organisation and class."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 @attrs.frozen
 class UsageRow:
-    """Use by one organisation in one class.
+    """Usage of one organisation in one class.
 
     Parameters
     ----------
     organisation, class_name : str
     generated_tokens : int
-        All tokens that were generated, the wasted ones included.
+        Number of generated tokens, including the wasted ones.
     wasted_tokens : int
-        Tokens that no caller got as part of a whole answer.
+        Number of generated tokens that no caller received as part of a complete answer.
     refusals : dict of str to int
-        Count by error kind.
+        Number of refused or failed requests by error kind.
     """
 
     organisation: str
@@ -48,7 +48,7 @@
     class_name : str
     target : LatencyTarget
     met, missed : int
-        Requests.
+        Number of requests.
     """
 
     class_name: str
@@ -58,13 +58,13 @@
 
     @property
     def share(self) -> float:
-        """Part of the requests that met the target; 1 if there were none."""
+        """Fraction of the requests that met the target; 1 if there were none."""
         total = self.met + self.missed
         return self.met / total if total else 1.0
 
 
 class UsageLedger:
-    """Counts since the start of the process.
+    """Counters of usage and attainment since the start of the process.
 
     Examples
     --------
@@ -89,7 +89,7 @@
         self._generated[organisation, class_name] += tokens
 
     def add_wasted(self, organisation: str, class_name: str, tokens: int) -> None:
-        """Count generated tokens that turned out to be of no use."""
+        """Count generated tokens that were wasted."""
         self._wasted[organisation, class_name] += tokens
 
     def add_refusal(self, organisation: str, class_name: str, kind: ErrorKind) -> None:
@@ -104,7 +104,7 @@
         self._attainment[class_name, target, met] += 1
 
     def rows(self) -> list[UsageRow]:
-        """Return the use by organisation and class, sorted."""
+        """Return the usage by organisation and class, sorted."""
         keys = set(self._generated) | set(self._wasted) | set(self._refusals)
         return [
             UsageRow(
@@ -118,7 +118,7 @@
         ]
 
     def attainment(self) -> list[AttainmentRow]:
-        """Return how often each target of each class was met, sorted."""
+        """Return the attainment of each target of each class, sorted."""
         keys = {(class_name, target) for class_name, target, _ in self._attainment}
         return [
             AttainmentRow(
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_admission.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_admission.py
@@ -40,7 +40,7 @@
         queue.push(Waiting(name, organisation, class_name, 0.0, 1e9), 0.0)
 
 
-def test_outstanding_requests_are_limited_and_given_back(admission, queue):
+def test_outstanding_requests_are_limited_and_released(admission, queue):
     assert admission.admit("small", "draft", queue, 0.0).is_ok()
     assert admission.admit("small", "draft", queue, 0.0).is_ok()
     assert admission.admit("small", "draft", queue, 0.0).err().kind is ErrorKind.ORGANISATION_LIMIT
@@ -68,7 +68,7 @@
 
 
 def serve(admission, queue, starts_per_s, seconds):
-    """Start requests of the queue at an even pace and return the time after it."""
+    """Start queued requests at a constant rate and return the time afterwards."""
     now = 0.0
     for _ in range(int(starts_per_s * seconds)):
         now += 1.0 / starts_per_s
@@ -81,10 +81,9 @@
 def test_a_request_is_refused_if_it_would_wait_beyond_its_patience(
     admission, queue, waiting, admitted
 ):
-    """A class gets more than it can serve.
+    """A class receives more requests than it can serve.
 
-    Requests that were let in would wait, be given up at the end of their patience, and the caller
-    would know only then.
+    Without early rejection, requests would wait until their patience ends and only then fail.
     """
     fill(queue, 100 + waiting)
     assert admission.admit("south", "draft", queue, 0.0).is_ok()
@@ -93,14 +92,14 @@
     assert answer.is_ok() is admitted
     if not admitted:
         assert answer.err().kind is ErrorKind.OVERLOADED
-        # 60 wait, 10 start a second, 4 s are allowed: room after 2 s.
+        # 60 wait, 10 start per second, 4 s are allowed: admitted again after 2 s.
         assert answer.err().retry_after_s == pytest.approx(2.0, rel=0.2)
 
 
-def test_an_organisation_does_not_wait_behind_the_flood_of_another(admission, queue):
+def test_organisation_is_admitted_despite_the_flood_of_another(admission, queue):
     """One organisation sends many times its share.
 
-    Fair division serves the others at once, so that refusing them for the flood would be wrong.
+    Fair queueing serves the others immediately, so they must not be rejected because of the flood.
     """
     fill(queue, 1000, organisation="south")
     assert admission.admit("south", "draft", queue, 0.0).is_ok()
@@ -134,10 +133,10 @@
     assert admission._accounts == {}
 
 
-def test_flood_is_refused_to_the_one_that_sends_it(admission, queue):
-    """One organisation sends far more than its part, in a class above that of the others.
+def test_only_the_flooding_organisation_is_rejected(admission, queue):
+    """One organisation sends far more than its share, in a higher class than the others.
 
-    The others' requests wait for the places it takes and are refused in the end.
+    Without the check, requests of the others would wait for its places and finally be rejected.
     """
     for organisation, tokens in (("south", 5000.0), ("north", 100.0), ("small", 100.0)):
         admission.charge(organisation, tokens, 0.0)
@@ -160,7 +159,7 @@
     assert not all(use.is_over(name, weights, 0.0) for name in list(uses))
 
 
-def test_use_of_long_ago_does_not_count():
+def test_old_usage_has_decayed():
     use = OrganisationUse()
     use.charge("south", 5000.0, 0.0)
     use.charge("north", 100.0, 0.0)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_configuration.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Keeping up with the record log, without ever going back."""
+"""Updates of the configuration from the record log; the revision never decreases."""
 
 import random
 
@@ -64,9 +64,9 @@
 
 
 @given(order=st.permutations(range(1, 9)), cuts=st.lists(st.integers(1, 3), min_size=8, max_size=8))
-def test_parts_in_any_order_never_take_the_revision_back(order, cuts):
-    """Parts reach a process from several peers at once and overtake each other. An older part that
-    arrives last must not bring an older configuration back.
+def test_parts_in_any_order_never_lower_the_revision(order, cuts):
+    """A process receives parts from several peers concurrently and out of order. An older part that
+    arrives last must not put an older configuration in force.
     """
     holder = ConfigurationHolder()
     seen = 0
@@ -79,7 +79,7 @@
             assert holder.snapshot.groups["desk"].places == seen
 
 
-def test_peer_hands_on_what_the_other_is_missing():
+def test_peer_sends_the_missing_entries():
     first, second, third = (ConfigurationHolder() for _ in range(3))
     first.apply(delta(0, entry(1), entry(2, name="hall"), withdrawal(3)), 1.0)
     assert not first.log_after(1).whole
@@ -90,7 +90,7 @@
     assert third.log_after(3) == LogPart(3, [], False, 3)
 
 
-def test_whole_configuration_removes_what_was_withdrawn_meanwhile():
+def test_full_configuration_removes_withdrawn_records():
     holder = ConfigurationHolder()
     holder.apply(delta(0, entry(1), entry(2, name="hall")), 1.0)
     holder.apply(LogPart(0, [entry(2, name="hall")], True, 5), 2.0)
@@ -99,8 +99,9 @@
 
 
 def test_old_and_new_release_act_on_the_same_log():
-    """While a schema rolls out, processes of the old and the new release read the same records.
-    The old one goes on with what it can read when only the new schema is left, and says so.
+    """During the rollout of a schema, processes of the old and the new release read the same
+    records. When only the new schema is left, the old release keeps the last readable version and
+    reports a fault.
     """
     old, new = ConfigurationHolder(OLD_RELEASE), ConfigurationHolder()
     first = ClassRecordV1("hold", 100, 0.7, 5.0, True, False)
@@ -119,7 +120,7 @@
     assert old.snapshot.classes["hold"].first_token_target_s == 0.7
     assert old.revision == 3
     assert old.faults == [fault]
-    # The old release hands on in full what it cannot read itself.
+    # The old release forwards unchanged what it cannot decode itself.
     late = ConfigurationHolder()
     late.apply(old.log_after(0), 3.0)
     assert late.snapshot.classes == new.snapshot.classes
@@ -151,9 +152,9 @@
     assert max(next_read_delay(1.0, 300.0, 10, rng) for _ in range(100)) < 1.6
 
 
-async def test_reader_takes_the_whole_first_and_then_the_changes():
-    """An old state answers a read: the process keeps what it has. The table goes down: it keeps
-    what it has too, and takes the next change once the table is back.
+async def test_reader_reads_all_records_first_and_then_changes():
+    """The configuration is kept after a stale read and while the table is unavailable. The next
+    change is applied once the table is available again.
     """
     table = FaultyTable()
     log = RecordLog(table)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_configuration_return.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_configuration_return.py
@@ -1,4 +1,4 @@
-"""Records over a return of the table from a copy, as operators and processes see them."""
+"""Records after the table is restored from a copy, for operators and processes."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class Operators:
-    """A table that returns from copies, its log, and the revisions that were accepted."""
+    """A table that can be restored from copies, its log, and the accepted revisions."""
 
     def __init__(self):
         self.table = MemoryTable(era=1)
@@ -38,7 +38,7 @@
     return {name: group.places for name, group in holder.snapshot.groups.items()}
 
 
-async def test_lost_change_stays_in_force_when_the_log_goes_on(operators):
+async def test_lost_change_stays_in_force_when_the_log_continues(operators):
     """The table loses a change, and an operator changes another record."""
     holder = ConfigurationHolder()
     await operators.put("desk", 1)
@@ -54,8 +54,8 @@
     assert outcome.kept == ("group/desk",)
 
 
-async def test_withdrawn_record_that_the_copy_brings_back_is_not_in_force(operators):
-    """The table loses a withdrawal; the record is in the copy, as if it had never gone."""
+async def test_withdrawn_record_that_the_copy_contains_is_not_in_force(operators):
+    """The table loses a withdrawal; the copy still contains the record."""
     holder = ConfigurationHolder()
     revision = await operators.put("desk", 1)
     copy = operators.table.copy()
@@ -71,8 +71,8 @@
     assert places(holder) == {"hall": 5, "desk": 3}
 
 
-async def test_process_that_knows_no_lost_change_takes_the_log_as_it_is(operators):
-    """A process lagged behind the copy and has nothing to keep."""
+async def test_process_without_lost_changes_applies_the_log_unchanged(operators):
+    """A process was behind the copy, so it has no lost change in force."""
     holder = ConfigurationHolder()
     await operators.put("desk", 1)
     await operators.read(holder)
@@ -89,8 +89,8 @@
 
 
 @pytest.mark.parametrize("from_peer", [False, True])
-async def test_record_lost_and_withdrawn_again_goes_everywhere(operators, from_peer):
-    """A lost record is put and withdrawn again while a process still has it in force."""
+async def test_lost_record_that_is_withdrawn_again_is_removed_everywhere(operators, from_peer):
+    """A lost record is put again and then withdrawn while a process still has it in force."""
     late, early = ConfigurationHolder(), ConfigurationHolder()
     await operators.put("hall", 1)
     copy = operators.table.copy()
@@ -112,7 +112,7 @@
 
 
 async def test_head_of_a_later_era_is_above_every_lost_revision(operators):
-    """A revision would be given to another change and taken for known where the first was lost."""
+    """A reused revision would be ignored by processes that have the lost change in force."""
     holder = ConfigurationHolder()
     await operators.put("desk", 1)
     copy = operators.table.copy()
@@ -129,7 +129,7 @@
 
 @pytest.mark.parametrize("goes_on", [False, True])
 async def test_put_on_a_lost_revision_is_refused_with_the_reason(operators, goes_on):
-    """An operator edits a record as it was read before the return."""
+    """An operator edits a record that was read before the table was restored."""
     await operators.put("desk", 1)
     copy = operators.table.copy()
     lost = await operators.put("desk", 2)
@@ -145,8 +145,8 @@
     assert refused.winner.revision == operators.revisions["desk"] or not goes_on
 
 
-async def test_returns_twice_in_a_row_keep_what_was_in_force(operators):
-    """A process is frozen through two returns, with changes between them."""
+async def test_two_consecutive_restores_keep_what_was_in_force(operators):
+    """A process is paused while the table is restored twice, with changes in between."""
     holder = ConfigurationHolder()
     await operators.put("desk", 1)
     copy = operators.table.copy()
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_health.py
@@ -22,10 +22,10 @@
     return HealthMonitor()
 
 
-def test_a_straggler_is_ejected_and_returns_with_its_pace(monitor):
-    """An upstream becomes slow but answers everything, so that no error shows it.
+def test_slow_upstream_is_ejected_until_it_recovers(monitor):
+    """An upstream becomes slow but still answers every request, so that no error shows it.
 
-    Its callers see long pauses between tokens, and it holds its places longer than others.
+    Its callers see long pauses between tokens, and its places stay occupied longer.
     """
     observe(monitor, {**FLEET, "vm-3": 0.03})
     assert monitor.ejected(0.0) == {"vm-3"}
@@ -35,23 +35,23 @@
     assert monitor.weight("vm-3", 0.0) == pytest.approx(1.0, abs=0.05)
 
 
-def test_a_somewhat_slow_upstream_gets_less(monitor):
+def test_moderately_slow_upstream_has_a_smaller_weight(monitor):
     observe(monitor, {**FLEET, "vm-3": 0.018})
     assert monitor.ejected(0.0) == frozenset()
     assert monitor.weight("vm-3", 0.0) == pytest.approx((1.25 / 1.8) ** 2)
     assert monitor.weight("vm-1", 0.0) == 1.0
 
 
-def test_all_slow_together_is_not_a_fault_of_one(monitor):
+def test_uniform_slowness_ejects_no_upstream(monitor):
     observe(monitor, FLEET)
     observe(monitor, dict.fromkeys(FLEET, 0.1), times=20)
     assert monitor.ejected(0.0) == frozenset()
 
 
-def test_failures_eject_for_a_while_and_a_late_success_does_not_end_it(monitor):
-    """An upstream fails some requests, while one that was sent before still ends well.
+def test_failures_eject_temporarily_despite_a_late_success(monitor):
+    """An upstream fails some requests, while one that was sent before still succeeds.
 
-    If that success counted, all traffic would return to an upstream that is known to fail.
+    If that success counted, all traffic would be sent again to an upstream that is known to fail.
     """
     observe(monitor, FLEET)
     monitor.observe_failure("vm-1", 0.0)
@@ -95,14 +95,14 @@
 
 
 @given(st.lists(st.booleans()), st.integers(1, 4))
-def test_the_gate_opens_after_successes_in_a_row_only(results, needed):
-    gate = ProbeGate(successes_needed=needed)
-    assert gate.healthy
-    gate.failed(0.0)
+def test_breaker_closes_only_after_consecutive_successes(results, needed):
+    breaker = ProbeGate(successes_needed=needed)
+    assert breaker.healthy
+    breaker.failed(0.0)
     row = 0
     healthy = False
     for ok in results:
-        gate.probe_result(ok, 0.0)
+        breaker.probe_result(ok, 0.0)
         row = row + 1 if ok else 0
         healthy = ok and (healthy or row >= needed)
-        assert gate.healthy == healthy
+        assert breaker.healthy == healthy
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_membership.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The list that lags, connections that come and go, and slots that leave."""
+"""Lagging VM lists, connections that open and close, and slots that shut down."""
 
 import random
 
@@ -33,7 +33,7 @@
     return {entry.vm for entry in entries}
 
 
-def test_subset_stays_while_vms_come_and_go(book):
+def test_subset_is_stable_while_vms_are_added_and_removed(book):
     before = names(book.targets(GROUP, 0.0))
     assert len(before) == 4
     others = [slot(number) for number in range(12) if f"s{number}" not in before]
@@ -43,9 +43,9 @@
     assert len(before & names(book.targets(GROUP, 2.0))) >= 3
 
 
-def test_list_that_forgets_everybody_takes_no_live_connection_away(book):
-    """The platform's list lags or comes back empty after an outage. Slots that answer go on being
-    used; one whose connection ends as well is gone.
+def test_empty_list_keeps_connected_slots(book):
+    """The platform's list lags or is empty after an outage. Connected slots stay in use; one whose
+    connection ends as well is removed.
     """
     before = names(book.targets(GROUP, 0.0))
     connect_all(book, 0.0)
@@ -57,9 +57,9 @@
 
 
 @pytest.mark.parametrize("source", ["list", "slot"])
-def test_either_word_of_leaving_is_enough(book, source):
-    """A VM leaves. The list may say so long after the slot, or the slot may be silent; in both
-    cases no new work goes there, and another slot takes its place.
+def test_shutdown_report_of_list_or_slot_is_sufficient(book, source):
+    """A VM shuts down. The list may show it long after the slot reported it, or the slot may not
+    report it. In both cases the slot gets no new work, and another slot is used instead.
     """
     connect_all(book, 0.0)
     vm = min(names(book.targets(GROUP, 0.0)))
@@ -80,13 +80,13 @@
     assert len(book.targets(GROUP, 1.0)) == 4
 
 
-def test_word_of_leaving_ends_with_the_incarnation(book):
+def test_shutdown_report_applies_to_one_incarnation(book):
     connect_all(book, 0.0)
     vm = min(names(book.targets(GROUP, 0.0)))
     book.said_leaving(vm, f"{vm}-a", 1.0)
     book.connected(vm, f"{vm}-b", 2.0)
     assert book.usable(vm, 2.0)
-    # The end of the old connection is noticed late and must not count against the new one.
+    # The end of the old connection is detected late and must not affect the new one.
     book.disconnected(vm, f"{vm}-a", 3.0)
     assert book.usable(vm, 3.0)
     assert book.incarnation(vm) == f"{vm}-b"
@@ -95,8 +95,8 @@
 
 
 def test_replacement_on_the_same_address_is_not_its_predecessor(book):
-    """A VM is replaced and another gets its address. The entry dials the old VM and the new one
-    answers under its own name, which the list does not show yet: the connection is not used.
+    """A VM is replaced and its address is reused. The entry dials the old VM, and the new one
+    answers with its own name, which is not listed yet: the connection is not used.
     """
     assert not book.connected("t3", "t3-a", 1.0)
     assert not book.usable("t3", 1.0)
@@ -107,9 +107,9 @@
     assert not book.usable("s3", 2.0)
 
 
-def test_lost_failure_domain_is_made_up_for_and_taken_back(book):
-    """A whole failure domain goes while the list still shows it. Slots of the other domains take
-    the load after a few seconds, and the fixed subset is in use again when the domain returns.
+def test_failed_domain_is_replaced_until_it_recovers(book):
+    """A failure domain fails while the list still shows it. Slots of the other domains are used
+    after a few seconds, and the fixed subset is in use again when the domain recovers.
     """
     connect_all(book, 0.0)
     fixed = names(book.targets(GROUP, 0.0))
@@ -130,9 +130,9 @@
     assert names(book.targets(GROUP, 30.0)) == fixed
 
 
-def test_returning_domain_makes_no_storm():
-    """A failure domain of 400 slots returns to 100 entries that all have dialled in vain. Their
-    next attempts are spread over the whole bound instead of coming at once.
+def test_reconnects_to_a_recovered_domain_are_spread():
+    """A failure domain of 400 slots recovers while 100 entries retry their connections. Their next
+    attempts are spread over the entire delay bound instead of arriving at once.
     """
     due = []
     for number in range(100):
@@ -147,7 +147,7 @@
     assert busiest <= 25
 
 
-def test_slot_that_closes_at_once_is_not_dialled_without_pause(book):
+def test_slot_that_closes_immediately_is_dialled_with_a_delay(book):
     rng = random.Random(1)
     for attempt in range(8):
         book.connected("s1", f"s1-{attempt}", float(attempt))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_orders.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, acted on at most once, under leases and turns."""
+"""Orders to engines, executed at most once, with leases and load turns."""
 
 import asyncio
 import random
@@ -34,7 +34,7 @@
 
 
 class Engine(OrderTarget):
-    """Counts effects; can keep an order back, as a pause of the sender would."""
+    """Engine that counts effects and can delay an order, like a pause of the sender."""
 
     def __init__(self, checks_fencing):
         self.checks_fencing = checks_fencing
@@ -53,7 +53,7 @@
 
 
 class Shared:
-    """One table and one time for the slots of a test."""
+    """Table and clock shared by the slots of a test."""
 
     def __init__(self):
         self.table = MemoryTable()
@@ -77,8 +77,8 @@
 
 
 async def test_repeated_and_restarted_slots_order_once():
-    """A slot restarts on its VM and reads the same record again. A user would see the engine drop
-    and load its adapter a second time in the middle of the day.
+    """A slot restarts on its VM and reads the same record again. The engine must not unload and
+    load its adapter a second time.
     """
     shared, engine = Shared(), Engine(checks_fencing=False)
     slot = shared.slot("a", engine)
@@ -90,8 +90,9 @@
 
 @pytest.mark.parametrize("checks_fencing", [True, False])
 async def test_slot_paused_past_its_lease_orders_at_most_once(checks_fencing):
-    """A slot is paused between its claim and the order, its lease passes on, and it wakes. Engines
-    that ignore fencing numbers would act twice if the successor had sent the order again.
+    """A slot is paused between its claim and the order, its lease is granted to another slot, and
+    it resumes. Engines that ignore fencing numbers would act twice if the successor sent the order
+    again.
     """
     shared, engine = Shared(), Engine(checks_fencing)
     engine.reachable.clear()
@@ -116,9 +117,9 @@
     assert sorted(engine.effects.values()) == [1, 1]
 
 
-async def test_order_whose_fate_is_unknown_is_not_sent_again():
-    """The connection to the engine breaks after the order went out. Whether the engine acted is not
-    known, and sending it again could make it act twice.
+async def test_order_with_unknown_outcome_is_not_sent_again():
+    """The connection to the engine breaks after the order was sent. It is unknown whether the
+    engine acted, and sending the order again could make it act twice.
     """
 
     class Broken(Engine):
@@ -135,8 +136,8 @@
 
 @given(st.integers(2, 8), st.integers(1, 3), st.lists(st.floats(0.5, 6.0), min_size=40))
 def test_loads_share_the_weight_store(slots, turns, pauses):
-    """All engines of a group are told to load at the same moment. Without turns the weight store
-    would refuse most of them, and no engine would be ready in time.
+    """All engines of a group are ordered to load at the same time. Without turns the weight store
+    would reject most of them, and no engine would be ready in time.
     """
 
     async def run():
@@ -165,14 +166,14 @@
 
 @pytest.fixture
 def returning():
-    """A shared table that names its era, in which claims may be made."""
+    """Return a shared table with an era in which claims may be made."""
     shared = Shared()
     shared.table = MemoryTable(era=1)
     asyncio.run(shared.table.transact([Put(OPEN_ERA_KEY, cbor2.dumps(1))]))
     return shared
 
 
-async def test_order_whose_claim_was_lost_is_not_given_again(returning):
+async def test_order_whose_claim_was_lost_is_not_sent_again(returning):
     """The table loses the claim of an order, and another slot reads the record."""
     engine = Engine(checks_fencing=True)
     slots = [returning.slot(f"slot-{number}", engine) for number in range(2)]
@@ -188,7 +189,7 @@
 
 
 async def test_order_is_not_sent_under_a_lease_of_an_earlier_era(returning):
-    """The table returns while the claim of an order is written, and has lost the lease."""
+    """The table is restored while the claim of an order is written, and has lost the lease."""
     engine = Engine(checks_fencing=True)
     slot = returning.slot("slot-0", engine)
     claim = slot.claims.claim
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_placement.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_placement.py
@@ -93,10 +93,10 @@
     assert shares(candidates, request)["vm-0"] == 1.0
 
 
-def test_scored_counts_what_it_sent_since_the_report():
+def test_scored_counts_requests_sent_since_the_report():
     """An entry sends several requests before the next load report arrives.
 
-    If it went by the report alone, all of them would land on one upstream.
+    If only the report counted, all of them would be sent to one upstream.
     """
     candidates = [candidate(0, reported=0, outstanding=5), candidate(1, reported=2)]
     assert shares(candidates)["vm-1"] == 1.0
@@ -150,7 +150,7 @@
     assert index.overlap("vm-1", index.blocks(second)) == 0
 
 
-def test_the_prefix_index_forgets_the_longest_unused():
+def test_prefix_index_evicts_the_least_recently_used():
     index = PrefixIndex(blocks_per_vm=3)
     index.note("vm-1", [1, 2, 3], 0.0)
     index.note("vm-1", [1, 2], 1.0)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_policy_records.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_policy_records.py
@@ -1,4 +1,4 @@
-"""Records name only policies that exist."""
+"""Records may name only existing policies."""
 
 import cbor2
 
@@ -23,11 +23,11 @@
     assert "scorde" in str(refusal.err())
 
 
-def test_policy_of_a_newer_release_takes_no_process_down():
-    """Operators put a record that names a policy of the new release while old processes run.
+def test_policy_of_a_newer_release_fails_no_process():
+    """Operators put a record that names a policy of a newer release while old processes run.
 
-    An old process that looked the name up would end the task that follows the configuration, and
-    be stuck with what it had.
+    If an old process looked up the name, the task that applies the configuration would fail, and no
+    later change would be applied.
     """
     holder = ConfigurationHolder()
     body = cbor2.dumps({"name": "default", "placement": "of-next-year"})
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_quarantine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_quarantine.py
@@ -15,10 +15,10 @@
     return [book.verdict(digest, now).value for digest in digests]
 
 
-def test_the_second_crash_names_the_only_suspect(book):
-    """A request crashes each upstream that runs it, and its caller sends it again.
+def test_second_crash_quarantines_the_only_suspect(book):
+    """A request crashes each upstream that runs it, and its caller retries it.
 
-    Without quarantine it would take down one upstream after the other, and what ran beside it.
+    Without quarantine it would crash one upstream after the other, and the requests beside it.
     """
     book.note_crash(["poison", "a", "b"], 0.0)
     assert verdicts(book, ["poison", "a", "b", "c"]) == ["suspect"] * 3 + ["clear"]
@@ -26,7 +26,7 @@
     assert verdicts(book, ["poison", "a", "b", "c"]) == ["quarantined", "clear", "clear", "clear"]
 
 
-def test_two_suspects_that_met_again_are_told_apart_by_the_third_crash(book):
+def test_third_crash_decides_between_two_suspects_that_ran_together(book):
     book.note_crash(["poison", "a"], 0.0)
     book.note_crash(["poison", "a"], 1.0)
     assert verdicts(book, ["poison", "a"]) == ["suspect", "suspect"]
@@ -34,8 +34,8 @@
     assert verdicts(book, ["poison", "a", "b"]) == ["quarantined", "clear", "clear"]
 
 
-def test_a_wrongly_named_request_is_freed_when_the_cause_is_found(book):
-    """Two bad requests are about, and an innocent one happens to run beside each of them."""
+def test_wrongly_quarantined_request_is_cleared_when_the_cause_is_found(book):
+    """An innocent request runs beside each of two bad requests when they crash an upstream."""
     book.note_crash(["first", "innocent"], 0.0)
     book.note_crash(["second", "innocent"], 1.0)
     assert book.verdict("innocent", 1.0) is Verdict.QUARANTINED
@@ -44,7 +44,7 @@
     assert verdicts(book, ["first", "innocent"], 3.0) == ["quarantined", "suspect"]
 
 
-def test_a_request_that_ran_to_its_end_is_clear(book):
+def test_completed_request_is_cleared(book):
     book.note_crash(["poison", "a"], 0.0)
     report = book.suspicions(0.0)
     book.note_finished("a", 1.0)
@@ -66,7 +66,7 @@
     assert book.verdict("poison", 203.0) is Verdict.CLEAR
 
 
-def test_merging_takes_the_larger_figures_and_says_what_is_new(book):
+def test_merge_keeps_the_larger_counts_and_returns_changes(book):
     book.note_crash(["poison"], 0.0)
     assert book.merge([Suspicion("poison", 1, 1, 100.0)], 0.0) == []
     assert book.merge([Suspicion("old", 2, 1, 0.0)], 0.0) == []
@@ -79,18 +79,19 @@
     st.lists(st.lists(st.integers(0, 9), min_size=1, max_size=4, unique=True), max_size=8),
     st.sets(st.integers(0, 7)),
 )
-def test_one_bad_request_is_named_in_two_crashes_and_no_other_is(company, late_news):
-    """The bad request is sent again and again, each time beside others.
+def test_only_the_bad_request_is_quarantined_after_two_crashes(concurrent_runs, late_reports):
+    """The bad request is sent repeatedly, each time beside others.
 
-    `late_news` are the runs that other suspects share because the word had not reached the entry.
+    `late_reports` are the runs in which other suspects take part because the report of the crash
+    had not reached the entry.
     """
     book = QuarantineBook(retention_s=1000.0)
     alone = 0
-    for turn, others in enumerate(company):
+    for turn, others in enumerate(concurrent_runs):
         if book.verdict("poison", turn) is Verdict.QUARANTINED:
             break
         names = [f"d{number}" for number in others]
-        if turn not in late_news:
+        if turn not in late_reports:
             names = [name for name in names if book.verdict(name, turn) is Verdict.CLEAR]
         suspects = [name for name in names if book.verdict(name, turn) is Verdict.SUSPECT]
         alone += not suspects and (turn > 0 or not names)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_queues.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_queues.py
@@ -37,7 +37,7 @@
     return popped
 
 
-def test_an_empty_queue_answers_none(queue):
+def test_empty_queue_returns_none(queue):
     assert queue.pop(0.0) is None
     assert queue.pop(0.0, "question") is None
     assert queue.peek(0.0) is None
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("policy", queue_policies.names())
 @given(steps=operations)
-def test_every_request_leaves_exactly_once_whatever_happens(policy, steps):
+def test_every_request_is_removed_exactly_once(policy, steps):
     queue = queue_policies.get(policy)(CLASSES, {})
     inside = {}
     for now, step in enumerate(steps):
@@ -111,10 +111,10 @@
     assert {one.request for one in drain(queue)} == set(inside)
 
 
-def test_a_class_withdrawn_while_requests_wait_loses_none(queue):
-    """An operator withdraws a class while requests of it wait.
+def test_requests_of_a_withdrawn_class_stay_queued(queue):
+    """An operator withdraws a class while requests of it are queued.
 
-    Were they dropped with the record, their callers would wait for an answer that never comes.
+    If they were dropped with the record, their callers would never get an answer.
     """
     queue.push(waiting(1, "summary", at=0.0), 0.0)
     queue.set_classes({"hold": CLASSES["hold"]}, {}, 1.0)
@@ -133,11 +133,11 @@
     assert [one.request for one in drain(queue)] == ["r3"]
 
 
-def test_an_answer_that_has_begun_is_not_given_up_by_patience(queue):
-    """An engine crashes in the middle of an answer and the request waits for another engine.
+def test_request_with_a_begun_answer_does_not_expire_by_patience(queue):
+    """An engine crashes in the middle of an answer and the request is queued for another engine.
 
-    Its patience counts from its arrival and is long used up. Were it refused for that, the caller
-    would lose an answer of which it has read a part.
+    Its patience counts from its arrival and has passed. If it expired because of that, the answer
+    that the caller has partly received would be truncated.
     """
     queue.push(waiting(1, at=0.0), 0.0)
     begun = Waiting("r2", "north", "question", -30.0, 60.0, begun=True)
@@ -166,10 +166,10 @@
     for class_name, organisation in arrivals:
         number += 1
         queue.push(waiting(number, class_name, organisation), 0.0)
-    now = 20.0  # all that wait are aged
+    now = 20.0  # all queued requests are aged
     passed_by = dict.fromkeys(CLASSES, 0)
     for start in range(150):
-        # Urgent requests keep coming, so that strict priority alone would serve nothing else.
+        # Protected requests keep arriving, so strict priority alone would serve nothing else.
         number += 1
         queue.push(waiting(number, "hold", at=0.0), now)
         one = queue.pop(now)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_retries.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_retries.py
@@ -10,7 +10,7 @@
 def test_a_request_that_may_have_run_is_repeated_only_if_idempotent(kind):
     """The confirmation of a request is lost, and the entry does not know whether it ran.
 
-    Another attempt could place the same hold twice.
+    Another attempt could execute the request twice.
     """
     decision = should_retry(kind, idempotent=False, attempt=1, can_resume=True)
     if decision.retry:
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("kind", ErrorKind)
 @pytest.mark.parametrize("attempt", [1, 50])
-def test_only_free_refusals_go_without_budget_and_without_end(kind, attempt):
+def test_only_free_rejections_need_no_budget_and_have_no_attempt_limit(kind, attempt):
     decision = should_retry(kind, idempotent=True, attempt=attempt, can_resume=True)
     free = kind in (ErrorKind.NO_PLACE, ErrorKind.LEAVING)
     assert (decision.retry and not decision.needs_budget) == free
@@ -34,7 +34,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 1.0), st.booleans()), max_size=200))
-def test_retries_stay_a_share_of_the_fresh_traffic(events):
+def test_retries_stay_a_share_of_the_new_requests(events):
     budget = RetryBudget(ratio=0.1, burst=5.0)
     now = fresh = retries = 0
     for gap, is_fresh in events:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_routing.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_routing.py
@@ -32,7 +32,7 @@
     "key",
     ["", ".", "north.parish", "north.parish.", "north.parish.x", "south.old", "north.parish.old "],
 )
-def test_other_keys_are_refused_in_the_same_words(keys, key):
+def test_other_keys_are_rejected_with_the_same_text(keys, key):
     error = authenticate(keys, key).err()
     assert error.kind is ErrorKind.UNAUTHENTICATED
     assert error.detail == authenticate(keys, "nobody.secret").err().detail
@@ -89,10 +89,11 @@
     assert found.err().kind is expected
 
 
-def test_a_class_reserves_places_only_where_a_route_leads_it():
-    """Two classes of one priority order are served by different groups of upstreams.
+def test_class_reserves_places_only_in_groups_of_its_routes():
+    """Classes are served by different groups of upstreams.
 
-    Were places kept free in both, half of a group would stand empty for requests that never come.
+    If places were reserved in both groups, half of a group would stay idle for requests that never
+    arrive.
     """
     hold = ClassRecord("hold", 100, 0.1, 0.1, 4.0, protected=True, reserved_places=2)
     snapshot = Snapshot(
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_slots.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_slots.py
@@ -30,7 +30,7 @@
 
 
 def start(slot, now=0.0):
-    """Do what a slot does after each event; return what was done, in order."""
+    """Run the scheduler until nothing is left to do, as after an event; return the steps."""
     done = []
     while True:
         before = len(done)
@@ -48,10 +48,10 @@
         start(slot)
 
 
-def test_urgent_work_pauses_the_youngest_answer_of_the_lowest_class():
-    """All places are taken by routine answers, whose length nobody knows, when a hold arrives.
+def test_protected_work_pauses_the_latest_start_of_the_lowest_class():
+    """A protected request arrives while all places are taken by routine answers of unknown length.
 
-    If it waited for one of them to end, the caller at the chapel desk would wait with it.
+    It must not wait until one of them ends.
     """
     slot = scheduler(places=3, reserve=False)
     begin(slot, work(1, "summary"), work(2, "summary"), work(3, "draft"))
@@ -79,7 +79,7 @@
     assert slot.offer(work(4, "charge"), 0, 0.0) == Ok(None)
     slot.finish("r1", 1, 0.0)
     start(slot)
-    # The remaining draft can be paused for a hold; after it only the last place is left for one.
+    # The remaining draft can be paused for a hold; afterwards only the last place is left for it.
     assert slot.offer(work(5, "firm"), 0, 0.0) == Ok(None)
     slot.finish("r2", 1, 0.0)
     assert slot.offer(work(6, "firm"), 0, 0.0) == Err(ErrorKind.NO_PLACE)
@@ -87,11 +87,11 @@
     assert slot.offer(work(7, "draft"), 0, 0.0) == Err(ErrorKind.NO_PLACE)
 
 
-def test_protected_work_pauses_one_request_even_where_places_are_kept_for_a_higher_class():
+def test_protected_work_pauses_one_request_despite_reservations_of_a_higher_class():
     """Routine answers fill an engine, a charge arrives, and one place is reserved for holds.
 
-    The reserve is met as long as a routine answer can be paused for a hold. Were it counted in
-    empty places, two answers would have to be paused for one charge, and it would wait for both.
+    The reservation is met as long as a routine answer can be paused for a hold. If it required an
+    empty place, two answers would have to be paused for one charge, which would wait for both.
     """
     slot = scheduler(places=2)
     begin(slot, work(1, "draft"), work(2, "draft"))
@@ -104,10 +104,10 @@
     assert slot.offer(work(1, "summary"), 0, 0.0) == Ok(None)
 
 
-def test_a_grant_lapses_and_frees_its_place():
-    """An entry is granted a place and dies, or is paused, before it uses it.
+def test_expired_grant_frees_its_place():
+    """An entry crashes or is paused before it uses a granted place.
 
-    Were the place kept for it, the upstream would run one request less for ever.
+    If the place stayed reserved, the upstream would permanently run one request less.
     """
     slot = scheduler(places=1)
     slot.set_demand("e1", [ClassDemand("draft", 1, 0.5)], 0.0)
@@ -125,9 +125,9 @@
 def test_a_class_below_its_share_is_granted_before_higher_ones():
     slot = scheduler(places=4, reserve=False)
     slot.set_demand("e1", [ClassDemand("firm", 50, 0.1), ClassDemand("draft", 50, 0.1)], 0.0)
-    begin_grants = start(slot)
-    assert [one.class_name for _, one in begin_grants] == ["firm"] * 4
-    for number, (_, grant) in enumerate(begin_grants):
+    first_grants = start(slot)
+    assert [one.class_name for _, one in first_grants] == ["firm"] * 4
+    for number, (_, grant) in enumerate(first_grants):
         assert slot.offer(work(number, "firm"), grant.grant, 0.0) == Ok(None)
     start(slot)
     slot.charge("r0", 1, 100, 0.0)
@@ -146,10 +146,11 @@
     assert start(slot, 1.0) == [("next_start", work(2, apart=True))]
 
 
-def test_a_lost_entry_takes_its_grants_and_queued_work_with_it():
-    """An entry dies while the slot queues and runs work for it and keeps a place for it.
+def test_disconnected_entry_frees_its_grants_and_queued_work():
+    """An entry crashes while the slot has queued work, running work and a granted place of it.
 
-    What runs keeps its place until it was stopped upstream, or the upstream would be overfilled.
+    Running work keeps its place until it is stopped upstream. Otherwise the upstream would be
+    overloaded.
     """
     slot = scheduler(places=2, reserve=False, binding="slot_queue")
     begin(slot, work(1, peer="e2"), work(2))
@@ -172,7 +173,7 @@
 
 
 class SlotMachine(RuleBasedStateMachine):
-    """A slot against a plain list of what it was given."""
+    """Compares a slot scheduler with a simple model of the accepted work."""
 
     @initialize(
         places=st.integers(1, 5),
@@ -193,7 +194,7 @@
         self.resumed_at = {}
         self.grants = {}
 
-    def follow(self):
+    def apply_steps(self):
         for name, one in start(self.slot, self.now):
             getattr(self, name)(one)
 
@@ -221,7 +222,7 @@
         return {**self.waiting, **self.running, **self.paused}
 
     def free_for(self, class_name):
-        """Return the free places for a class, worked out anew from what runs and is granted."""
+        """Return the free places for a class, computed from the running and granted places."""
         record = CLASSES[class_name]
         taken = [one.class_name for one in self.running.values()]
         taken += [one.class_name for one in self.grants.values()]
@@ -278,7 +279,7 @@
                 if self.policy.preemption and free == 0 and not self.protected_demand():
                     assert all(CLASSES[one.class_name].protected for one in grants_before)
         self.drop_revoked()
-        self.follow()
+        self.apply_steps()
 
     def protected_demand(self):
         return any(CLASSES[name].protected for name in self.slot._demands.classes)
@@ -293,7 +294,7 @@
         classes = [ClassDemand(name, count, 0.5) for name, count in demand.items()]
         self.slot.set_demand(peer, classes, self.now)
         before = set(self.grants)
-        self.follow()
+        self.apply_steps()
         for name in CLASSES:
             fresh = [self.grants[number] for number in set(self.grants) - before]
             granted = [g for g in fresh if (g.peer, g.class_name) == (peer, name)]
@@ -307,7 +308,7 @@
         assert not self.slot.finish(request, 1, self.now)
         self.running.pop(request, None)
         self.paused.pop(request, None)
-        self.follow()
+        self.apply_steps()
 
     @precondition(lambda self: self.running)
     @rule(data=st.data(), tokens=st.integers(1, 5000))
@@ -321,7 +322,7 @@
         number = data.draw(st.sampled_from(sorted(self.grants)))
         del self.grants[number]
         self.slot.return_grant(number, self.now)
-        self.follow()
+        self.apply_steps()
 
     @rule(seconds=st.sampled_from([0.01, 0.5, 3.0]))
     def wait(self, seconds):
@@ -329,19 +330,19 @@
         for one in self.slot.expire(self.now):
             del self.waiting[one.request]
         self.grants = {n: one for n, one in self.grants.items() if one.expires_at > self.now}
-        self.follow()
+        self.apply_steps()
 
     @rule(peer=peers)
-    def lose_entry(self, peer):
+    def handle_disconnect(self, peer):
         lost = {one.request for one in self.slot.forget_peer(peer, self.now)}
         assert lost == {one.request for one in self.held().values() if one.peer == peer}
         self.waiting = {name: one for name, one in self.waiting.items() if one.peer != peer}
         self.grants = {n: one for n, one in self.grants.items() if one.peer != peer}
-        self.follow()
+        self.apply_steps()
 
     @rule(kept=st.sets(class_names), queue=st.sampled_from(["class_share", "fifo"]))
     def reconfigure(self, kept, queue):
-        """Withdraw classes for a moment and change the order of the queue."""
+        """Withdraw classes temporarily and change the queue policy."""
         policy = PolicyRecord(
             binding=self.policy.binding,
             queue=queue,
@@ -351,10 +352,10 @@
         left = {name: CLASSES[name] for name in kept}
         self.slot.configure(self.places, left, {}, policy, self.now)
         self.slot.configure(self.places, CLASSES, {}, policy, self.now)
-        self.follow()
+        self.apply_steps()
 
     @invariant()
-    def nothing_is_lost_and_no_promise_broken(self):
+    def model_and_invariants_hold(self):
         if not hasattr(self, "slot"):
             return
         counts = self.slot.counts(self.now)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_suspicion_store.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_suspicion_store.py
@@ -1,4 +1,4 @@
-"""Suspicions outlive the processes that raised them."""
+"""Suspicions outlive the processes that reported them."""
 
 import attrs
 
@@ -9,10 +9,10 @@
 ONE = Suspicion("a" * 32, 1, 0, 100.0)
 
 
-async def test_row_keeps_the_larger_figures():
-    """Two slots see different crashes of the same request and write at about the same time.
+async def test_row_keeps_the_larger_counts():
+    """Two slots record different crashes of the same request at about the same time.
 
-    If the later, smaller figure won, the request would crash one more upstream.
+    If the later, smaller count replaced the larger one, the request would crash one more upstream.
     """
     store = SuspicionStore(MemoryTable())
     await store.save([attrs.evolve(ONE, crashes=2, alone=1)], 0.0)
