--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_world.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
@@ -1,9 +1,9 @@
-"""Entries, slots, a table and an upstream whose every step waits until a test lets it go on.
+"""Simulated cluster for tests of at-most-once execution: the test controls the order of all steps.
 
-The claims, the guard of the slot and the resolver of the entry are the real ones. Around them each
-call of the table, each message, the moment before a request is sent upstream and the moment
-before its outcome is written is a :class:`Gate`. A process is paused as long as a test leaves
-its gates closed, and crashes when they are thrown away. The :class:`Oracle` counts effects.
+The claims, the guard of the slot and the resolver of the entry are the real ones. Each call of the
+table, each message, the moment before a request is sent upstream and the moment before its outcome
+is written waits at a :class:`Gate` until the test opens it. A process is paused while its gates
+stay closed, and crashes when they are discarded. The :class:`Oracle` counts effects.
 """
 
 from __future__ import annotations
@@ -44,41 +44,41 @@
 DEADLINE_S = 60.0
 RETENTION_S = 86400.0
 MAX_ATTEMPTS = 2
-PUMP_TURNS = 40
+EVENT_LOOP_TURNS = 40
 INLINE_BYTES = 64
-STALE_WRITES = 4
-COPY_AGE_S = 10.0
-RESTORE_TRIES = 5
+STALE_STATES = 4
+MAX_COPY_AGE_S = 10.0
+RESTORE_ATTEMPTS = 5
 
 
 class OracleError(AssertionError):
-    """What was promised to a caller does not hold."""
+    """An invariant of at-most-once execution is violated."""
 
 
 @attrs.define
 class Call:
-    """A request of a caller, and what the caller was told."""
+    """A request of a caller, and the result that was reported to the caller."""
 
     name: str
     key: str
     digest: str
     generation: int
     started_at: float
-    told: str = ""
+    reported: str = ""
     answer: StoredAnswer | None = None
     attempt: int = 0
     reply: asyncio.Future | None = None
 
 
 class Oracle:
-    """Count the effects at the upstream and compare them with what callers were told."""
+    """Counts the effects at the upstream and compares them with the results of the callers."""
 
     def __init__(self):
         self.calls: list[Call] = []
         self.generations: Counter[str] = Counter()
         self.effects: Counter[str] = Counter()
         self.effects_by_key: Counter[tuple[str, int]] = Counter()
-        self.unkept: set[str] = set()
+        self.exempt_keys: set[str] = set()
         self.answers: dict[bytes, Call] = {}
 
     def add_call(self, key: str, digest: str, now: float) -> Call:
@@ -93,11 +93,11 @@
         self.effects_by_key[call.key, call.generation] += 1
         body = f"{run.digest} by {run.request}/{run.attempt}, {len(self.answers)}".encode()
         self.answers[body] = call
-        # One answer in two is too large for the row and goes through the object store.
+        # Every second answer is too large for the row and is stored in the object store.
         return StoredAnswer(200, [["x", "y" * (len(self.answers) % 2 * INLINE_BYTES)]], body)
 
-    def forget(self, key: str, expired_at: float) -> None:
-        """Start a new generation, which calls that came after the expiry belong to already."""
+    def start_generation(self, key: str, expired_at: float) -> None:
+        """Start a new generation of a key, which includes calls after the expiry."""
         self.generations[key] += 1
         for call in self.calls:
             if call.key == key and call.started_at > expired_at:
@@ -105,23 +105,23 @@
 
     def check(self) -> None:
         for (key, generation), count in self.effects_by_key.items():
-            if count > 1 and key not in self.unkept:
+            if count > 1 and key not in self.exempt_keys:
                 raise OracleError(f"{count} effects of key {key} in generation {generation}")
         for call in self.calls:
-            if call.told == "not_run" and self.effects[call.name]:
-                raise OracleError(f"{call.name} had an effect and was told that it did not run")
-            if call.told == "answer":
+            if call.reported == "not_run" and self.effects[call.name]:
+                raise OracleError(f"{call.name} had an effect and was reported as not run")
+            if call.reported == "answer":
                 self._check_answer(call)
 
     def _check_answer(self, call: Call) -> None:
         ran = self.answers.get(call.answer.body)
         if ran is None or (ran.key, ran.digest) != (call.key, call.digest):
-            raise OracleError(f"{call.name} got an answer that is not its own: {call.answer}")
+            raise OracleError(f"{call.name} got the answer of another request: {call.answer}")
 
 
 @attrs.define(eq=False)
 class Gate:
-    """A step of a process that waits for the test."""
+    """A step of a process that waits until the test opens it."""
 
     kind: str
     process: Process
@@ -132,30 +132,30 @@
 
 
 @attrs.frozen
-class LateWrite:
-    """A write that is still on its way to the table, and when it was given up."""
+class AbandonedWrite:
+    """A write that its sender has abandoned but that may still reach the table."""
 
     sent_at: float
     operations: list
 
 
 class Process:
-    """An entry or slot: its incarnation, and whether it still lives."""
+    """An entry or slot."""
 
-    def __init__(self, world: World, incarnation: str):
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster, incarnation: str):
+        self.cluster = cluster
         self.incarnation = incarnation
         self.dead = False
         table = GatedTable(self)
-        self.claims = world.claim_store(table, world.objects, inline_bytes=INLINE_BYTES)
+        self.claims = cluster.claim_store(table, cluster.objects, inline_bytes=INLINE_BYTES)
 
 
 class GatedTable(TableService):
-    """The world's table as one process reaches it."""
+    """The cluster's table as accessed by one process, with a gate for each call."""
 
     def __init__(self, process: Process):
         self.process = process
-        self.known_era = process.world.table.era
+        self.known_era = process.cluster.table.era
 
     @property
     def era(self):
@@ -171,42 +171,42 @@
         return await self._call(operations=operations)
 
     async def _call(self, **call):
-        answer = await self.process.world.wait("table", self.process, **call)
+        answer = await self.process.cluster.wait("table", self.process, **call)
         self.known_era = max(self.known_era, answer.era)
         return answer.result
 
 
 class Slot(Process):
-    """Runs attempts on the upstream."""
+    """A slot that runs attempts on the upstream."""
 
-    def __init__(self, world: World, incarnation: str):
-        super().__init__(world, incarnation)
-        self.outcomes = OutcomeWriter(self.claims, world.clock, retry_s=0.0)
-        self.eras = world.claim_era(self.claims, world.clock)
+    def __init__(self, cluster: SimulatedCluster, incarnation: str):
+        super().__init__(cluster, incarnation)
+        self.outcomes = OutcomeWriter(self.claims, cluster.clock, retry_s=0.0)
+        self.eras = cluster.claim_era(self.claims, cluster.clock)
         self.guard = OnceGuard(self.claims, self.outcomes, self.eras, incarnation)
 
     async def serve(self, run: Run, call: Call) -> None:
-        begun = await self.guard.begin(run, self.world.clock)
+        begun = await self.guard.begin(run, self.cluster.clock)
         if begun.is_err():
-            self.world.reply(call, run, begun.err())
+            self.cluster.reply(call, run, begun.err())
             return
-        if await self.world.wait("send", self) == "refused":
+        if await self.cluster.wait("send", self) == "refused":
             await self.guard.abandon(begun.ok())
             refusal = NotRun(run.request, run.attempt, ErrorKind.UPSTREAM_REFUSED)
-            self.world.reply(call, run, refusal)
+            self.cluster.reply(call, run, refusal)
             return
-        answer = self.world.oracle.add_effect(run)
-        await self.world.wait("answer", self)
-        self.world.reply(call, run, answer)
+        answer = self.cluster.oracle.add_effect(run)
+        await self.cluster.wait("answer", self)
+        self.cluster.reply(call, run, answer)
         await self.guard.finish(begun.ok(), answer)
 
 
 class Entry(Process):
-    """Takes calls, and tells callers what became of them."""
+    """An entry that accepts calls and reports their results."""
 
-    def __init__(self, world: World, incarnation: str):
-        super().__init__(world, incarnation)
-        self.resolver = world.resolver(self.claims)
+    def __init__(self, cluster: SimulatedCluster, incarnation: str):
+        super().__init__(cluster, incarnation)
+        self.resolver = cluster.resolver(self.claims)
 
     async def handle(self, call: Call, slots: list[int]) -> None:
         ticket = self.resolver.open_ticket(ORGANISATION, call.key, call.digest, call.started_at)
@@ -214,35 +214,35 @@
             run = make_run(ticket, call, attempt)
             reply = await self._attempt(run, call, slots[attempt % len(slots)])
             if isinstance(reply, StoredAnswer):
-                return self._tell(call, "answer", reply)
-            lost = isinstance(reply, NotRun) and reply.kind is ErrorKind.CLAIM_LOST
-            if isinstance(reply, NotRun) and not lost:
+                return self._report(call, "answer", reply)
+            claim_lost = isinstance(reply, NotRun) and reply.kind is ErrorKind.CLAIM_LOST
+            if isinstance(reply, NotRun) and not claim_lost:
                 if reply.kind is ErrorKind.TABLE_UNAVAILABLE:
                     break
                 continue
-            settled = await self.resolver.settle(ticket, self.world.clock, claim_lost=lost)
+            settled = await self.resolver.settle(ticket, self.cluster.clock, claim_lost=claim_lost)
             if settled.state is not SettledState.NOT_RUN:
-                return self._tell_settled(call, settled)
+                return self._report_settled(call, settled)
             ticket = attrs.evolve(ticket, expected_version=settled.row_version)
-        return self._tell(call, "not_run")
+        return self._report(call, "not_run")
 
     async def _attempt(self, run: Run, call: Call, slot: int):
         call.attempt = run.attempt
         call.reply = asyncio.get_running_loop().create_future()
-        self.world.spawn(self._deliver(run, call, slot))
+        self.cluster.spawn(self._deliver(run, call, slot))
         return await call.reply
 
     async def _deliver(self, run: Run, call: Call, slot: int) -> None:
-        receiver = self.world.slots[slot]
-        await self.world.wait("message", receiver)
+        receiver = self.cluster.slots[slot]
+        await self.cluster.wait("message", receiver)
         await receiver.serve(run, call)
 
-    def _tell_settled(self, call: Call, settled) -> None:
-        told = {SettledState.STORED: "answer", SettledState.KEY_REUSED: "not_run"}
-        self._tell(call, told.get(settled.state, settled.state.value), settled.answer)
+    def _report_settled(self, call: Call, settled) -> None:
+        reported = {SettledState.STORED: "answer", SettledState.KEY_REUSED: "not_run"}
+        self._report(call, reported.get(settled.state, settled.state.value), settled.answer)
 
-    def _tell(self, call: Call, told: str, answer: StoredAnswer | None = None) -> None:
-        call.told, call.answer = told, answer
+    def _report(self, call: Call, reported: str, answer: StoredAnswer | None = None) -> None:
+        call.reported, call.answer = reported, answer
 
 
 def make_run(ticket: OnceTicket, call: Call, attempt: int) -> Run:
@@ -266,13 +266,13 @@
     )
 
 
-class World:
-    """Two entries, two slots and one table; every step is taken by the test.
+class SimulatedCluster:
+    """Two entries, two slots and one table; the test triggers every step.
 
     Parameters
     ----------
     claim_store, claim_era, resolver, table : type
-        The classes under test, broken ones in the mutation tests.
+        Classes under test; faulty ones in the mutation tests.
     era : int
         Era of the table at the start.
     """
@@ -292,14 +292,14 @@
         self.table = table(era)
         self.copy = self.table.copy()
         self.copied_at = 0.0
-        self.lost: dict[str, str] = {}
+        self.lost_claims: dict[str, str] = {}
         self.objects = MemoryObjectStore()
         self.oracle = Oracle()
         self.now = 1_000_000.0
         self.gates: list[Gate] = []
-        self.late: list[LateWrite] = []
-        self.landed_after_retention = False
-        self.past: list[tuple[int, dict]] = [(era, {})]
+        self.late_writes: list[AbandonedWrite] = []
+        self.wrote_after_retention = False
+        self.past_states: list[tuple[int, dict]] = [(era, {})]
         self.crashed: set[str] = set()
         self._tasks: list[asyncio.Task] = []
         self._incarnations = 0
@@ -322,14 +322,14 @@
     def spawn(self, work) -> None:
         self._tasks.append(self.loop.create_task(work))
 
-    def pump(self) -> None:
-        """Let every task go on until it waits at a gate."""
+    def run_until_blocked(self) -> None:
+        """Run all tasks until each waits at a gate, and check the invariants."""
 
-        async def turn():
-            for _ in range(PUMP_TURNS):
+        async def run_loop():
+            for _ in range(EVENT_LOOP_TURNS):
                 await asyncio.sleep(0)
 
-        self.run(turn())
+        self.run(run_loop())
         for task in self._tasks:
             if task.done() and task.exception() is not None:
                 raise task.exception()
@@ -337,39 +337,39 @@
         self.oracle.check()
 
     async def wait(self, kind: str, process: Process, operations=None, keys=None):
-        """Wait at a gate; a dead process waits for ever."""
+        """Wait at a gate; a crashed process waits forever."""
         future = asyncio.get_running_loop().create_future()
         if not process.dead:
             self.gates.append(Gate(kind, process, future, operations, keys))
         return await future
 
     def reply(self, call: Call, run: Run, message) -> None:
-        """Hand a slot's message to the entry, unless the entry gave the attempt up."""
+        """Deliver a slot's message to the entry, unless the entry has abandoned the attempt."""
         if call.attempt == run.attempt and not call.reply.done():
             call.reply.set_result(message)
 
     def call(self, entry: int, key: str, digest: str, slots: list[int]) -> Call:
         call = self.oracle.add_call(key, digest, self.now)
         self.spawn(self.entries[entry].handle(call, slots))
-        self.pump()
+        self.run_until_blocked()
         return call
 
     def lose_peer(self, index: int) -> None:
-        """Let an entry lose the slot, or give up waiting; the slot notices nothing."""
+        """End the wait of an entry for a slot; the slot does not detect it."""
         waiting = [c for c in self.oracle.calls if c.reply is not None and not c.reply.done()]
         if waiting:
             waiting[index % len(waiting)].reply.set_result(None)
-            self.pump()
+            self.run_until_blocked()
 
     def crash(self, role: str, index: int) -> None:
-        """Replace a process; its calls under way may still reach the table."""
+        """Crash and replace a process; its calls in flight may still reach the table."""
         processes = self._processes(role)
         process = processes[index]
         process.dead = True
-        self._give_up_lost(lambda holder: holder is process)
+        self._exempt_lost_claims(lambda holder: holder is process)
         self.crashed.add(process.incarnation)
         for gate in self._gates_of(process):
-            self.add_late(gate)
+            self.add_late_write(gate)
         self.gates = [gate for gate in self.gates if gate.process is not process]
         processes[index] = self._make(type(process))
 
@@ -377,45 +377,48 @@
         return [gate for gate in self.gates if gate.process is process]
 
     def open(self, index: int, action: int) -> None:
-        """Open a gate, in one of the ways that its kind allows."""
+        """Open a gate with one of the actions of its kind."""
         if not self.gates:
             return
         gate = self.gates.pop(index % len(self.gates))
-        ways = WAYS[gate.kind]
-        ways[action % len(ways)](self, gate)
-        self.pump()
+        actions = GATE_ACTIONS[gate.kind]
+        actions[action % len(actions)](self, gate)
+        self.run_until_blocked()
 
     def open_first(self, paused: tuple[str, int] | None) -> None:
-        """Open the oldest gate as it should be, leaving those of a paused process closed."""
-        held = None if paused is None else self._processes(paused[0])[paused[1]]
+        """Open the oldest gate without a fault; those of a paused process stay closed."""
+        paused_process = None if paused is None else self._processes(paused[0])[paused[1]]
         for index, gate in enumerate(self.gates):
-            if gate.process is not held:
+            if gate.process is not paused_process:
                 self.open(index, 0)
                 return
 
     def _processes(self, role: str) -> list[Process]:
         return self.slots if role == "slot" else self.entries
 
-    def land_late(self, index: int) -> None:
-        """Let a write arrive that its sender has given up."""
-        if self.late:
-            write = self.late.pop(index % len(self.late))
-            self.landed_after_retention |= self.now - write.sent_at > RETENTION_S
+    def inject_late_write(self, index: int) -> None:
+        """Execute a write that its sender has abandoned."""
+        if self.late_writes:
+            write = self.late_writes.pop(index % len(self.late_writes))
+            self.wrote_after_retention |= self.now - write.sent_at > RETENTION_S
             self.write(write.operations)
             self.oracle.check()
 
     def write(self, operations: list):
         result = self.run(self.table.transact(operations))
-        self.past = [*self.past[-STALE_WRITES:], (self.table.era, dict(self.table._rows))]
+        self.past_states = [
+            *self.past_states[-STALE_STATES:],
+            (self.table.era, dict(self.table._rows)),
+        ]
         return result
 
     def take_copy(self) -> None:
-        """Copy the table; it may return to this state."""
+        """Copy the table; it can be restored to this state."""
         self.copy = self.table.copy()
         self.copied_at = self.now
 
     def return_to_copy(self) -> None:
-        """Let the table return to the copy, and note which claims it has lost."""
+        """Restore the table from the copy, and record which claims it has lost."""
         before = self.table._rows
         self.table.return_to(self.copy)
         for row_key, row in before.items():
@@ -423,106 +426,115 @@
             kept = self.table._rows.get(row_key)
             is_kept = kept is not None and kept.value == row.value
             if claim is not None and claim.state is not ClaimState.CANCELLED and not is_kept:
-                self.lost[row_key] = claim.incarnation
-        self._give_up_lost(lambda holder: False)
-        self.past = [*self.past[-STALE_WRITES:], (self.table.era, dict(self.table._rows))]
+                self.lost_claims[row_key] = claim.incarnation
+        self._exempt_lost_claims(lambda holder: False)
+        self.past_states = [
+            *self.past_states[-STALE_STATES:],
+            (self.table.era, dict(self.table._rows)),
+        ]
 
     def poll(self, entry: int) -> None:
-        """Let an entry learn the era, as it reads the configuration now and then."""
+        """Update the era that an entry knows, like its periodic reads of the configuration."""
         self.entries[entry].claims.table.known_era = self.table.era
 
-    def look(self, slot: int) -> None:
-        """Let a slot ask the table for its era."""
+    def look_up_era(self, slot: int) -> None:
+        """Start a slot's read of the era of the table."""
         self.spawn(self.slots[slot].eras.look())
-        self.pump()
+        self.run_until_blocked()
 
     def restore_in_time(self, slot: int) -> None:
-        """Let a slot write its claims again before others may take them."""
+        """Run the restore of a slot's claims before others may claim the keys."""
         process = self.slots[slot]
-        for _ in range(RESTORE_TRIES):
+        for _ in range(RESTORE_ATTEMPTS):
             if self._has_restored(process):
                 break
-            self.look(slot)
+            self.look_up_era(slot)
             while gates := self._table_gates(process):
                 self.open(self.gates.index(gates[0]), 0)
         if not self._has_restored(process):
-            raise OracleError(f"{process.incarnation} reached the table and restored nothing")
-        self._note_restored()
+            raise OracleError(f"{process.incarnation} reached the table but restored no claims")
+        self._drop_restored_claims()
 
     def _table_gates(self, process: Process) -> list[Gate]:
         return [gate for gate in self._gates_of(process) if gate.kind.startswith("table")]
 
     def open_era(self) -> None:
-        """Let every slot that looks make claims, as if the era had begun long ago."""
+        """Permit claims for every slot that reads the era, as if it had begun long ago."""
         row = self.run(self.table.get([OPEN_ERA_KEY])).ok()[0]
         version = row.version if row else self.table.absent
         self.write([Put(OPEN_ERA_KEY, cbor2.dumps(self.table.era), version)])
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass; claims that were not restored by then may be handed out again."""
-        self._note_restored()
-        self._give_up_lost(lambda holder: not self._has_restored(holder))
+        """Advance the time; claims that are not restored before may be granted again."""
+        self._drop_restored_claims()
+        self._exempt_lost_claims(lambda holder: not self._has_restored(holder))
         self.now += seconds
-        if self.now - self.copied_at > COPY_AGE_S:
+        if self.now - self.copied_at > MAX_COPY_AGE_S:
             self.take_copy()
 
     def _has_restored(self, process: Process) -> bool:
         return process.claims.memory.era == self.table.era
 
-    def _note_restored(self) -> None:
+    def _drop_restored_claims(self) -> None:
         restored = {slot.incarnation for slot in self.slots if self._has_restored(slot)}
-        self.lost = {key: name for key, name in self.lost.items() if name not in restored}
+        self.lost_claims = {
+            key: name for key, name in self.lost_claims.items() if name not in restored
+        }
 
-    def _give_up_lost(self, missed) -> None:
-        """Expect no more of lost claims whose holders are gone or missed their time."""
+    def _exempt_lost_claims(self, missed) -> None:
+        """Exempt the keys of lost claims whose holders have crashed or missed the hold time."""
         living = {slot.incarnation for slot in self.slots if not slot.dead and not missed(slot)}
-        unkept = {row_key for row_key, holder in self.lost.items() if holder not in living}
+        exempt_row_keys = {
+            row_key for row_key, holder in self.lost_claims.items() if holder not in living
+        }
         for call in self.oracle.calls:
-            if claim_row_key(ORGANISATION, call.key) in unkept:
-                self.oracle.unkept.add(call.key)
+            if claim_row_key(ORGANISATION, call.key) in exempt_row_keys:
+                self.oracle.exempt_keys.add(call.key)
 
-    def add_late(self, gate: Gate) -> None:
-        """Keep a write that its sender gave up and that may still take effect."""
+    def add_late_write(self, gate: Gate) -> None:
+        """Keep a write that its sender has abandoned and that may still take effect."""
         if gate.operations:
-            self.late.append(LateWrite(self.now, gate.operations))
+            self.late_writes.append(AbandonedWrite(self.now, gate.operations))
 
     def sweep(self) -> None:
-        """Delete expired rows; a key whose outcome is forgotten starts a new generation."""
+        """Delete expired rows; a key whose outcome was deleted starts a new generation."""
         before = {key: self._read(key) for key in sorted({call.key for call in self.oracle.calls})}
         sweep = ClaimSweep(self.table, GroupCommitter(self.table), RETENTION_S)
         self.run(sweep.sweep_page("", lambda name: name not in self.crashed, self.now))
         for key, row in before.items():
             had_outcome = row is not None and row.state is not ClaimState.CANCELLED
             if had_outcome and self._read(key) is None:
-                self.oracle.forget(key, row.written_at + RETENTION_S)
+                self.oracle.start_generation(key, row.written_at + RETENTION_S)
 
     def _read(self, key: str):
         return self.run(ClaimStore(self.table, self.objects).read(ORGANISATION, key)).ok()
 
     def heal(self) -> None:
-        """Open every gate as it should be, until nothing waits."""
+        """Open all gates without faults until nothing waits."""
         for slot in range(len(self.slots)):
             self.restore_in_time(slot)
-        while self.gates or self.late:
+        while self.gates or self.late_writes:
             if self.gates:
                 self.open(0, 0)
             else:
-                self.land_late(0)
+                self.inject_late_write(0)
 
     def check_rows(self) -> None:
-        """Check that a healed system left no key undecided but by a crash.
+        """Check that only crashes leave rows in state running after :meth:`heal`.
 
-        A claim that the table carries out a day late, after its row expired, harms nobody but
-        leaves a row in state running; no such history is checked.
+        A claim that the table executes a day late, after its row expired, has no effect but leaves
+        a row in state running. Such histories are not checked.
         """
-        if self.landed_after_retention:
+        if self.wrote_after_retention:
             return
         for call in self.oracle.calls:
             row = self._read(call.key)
             if row is None or row.incarnation in self.crashed:
                 continue
             if row.state is ClaimState.RUNNING:
-                raise OracleError(f"key {call.key} stays running although all slots live")
+                raise OracleError(
+                    f"key {call.key} stays in state running although its slot has not crashed"
+                )
 
     def close(self) -> None:
         while tasks := asyncio.all_tasks(self.loop):
@@ -534,65 +546,76 @@
 
 @attrs.frozen
 class Answer:
-    """An answer of the table and the era that it names, 0 if nothing came."""
+    """An answer of the table and its era; 0 if there was no answer."""
 
     era: int
     result: object
 
 
-def _carry_out(world: World, gate: Gate) -> Answer:
+def _run_operation(cluster: SimulatedCluster, gate: Gate) -> Answer:
     if gate.keys:
-        return Answer(world.table.era, world.run(world.table.get(gate.keys)))
-    return Answer(world.table.era, world.write(gate.operations))
+        return Answer(cluster.table.era, cluster.run(cluster.table.get(gate.keys)))
+    return Answer(cluster.table.era, cluster.write(gate.operations))
 
 
-def _read_stale(world: World, gate: Gate) -> None:
+def _read_stale(cluster: SimulatedCluster, gate: Gate) -> None:
     """Answer a read from an earlier state of the table; writes are never stale."""
     if not gate.keys:
-        return _go(world, gate)
-    era, rows = world.past[-1 - len(world.gates) % min(STALE_WRITES, len(world.past))]
+        return _execute(cluster, gate)
+    era, rows = cluster.past_states[
+        -1 - len(cluster.gates) % min(STALE_STATES, len(cluster.past_states))
+    ]
     return gate.future.set_result(Answer(era, Ok([rows.get(key) for key in gate.keys])))
 
 
-def _go(world: World, gate: Gate) -> None:
-    gate.future.set_result(_carry_out(world, gate))
+def _execute(cluster: SimulatedCluster, gate: Gate) -> None:
+    gate.future.set_result(_run_operation(cluster, gate))
 
 
-def _lose_answer(world: World, gate: Gate) -> None:
-    _carry_out(world, gate)
+def _lose_answer(cluster: SimulatedCluster, gate: Gate) -> None:
+    _run_operation(cluster, gate)
     gate.future.set_result(Answer(0, Err(TableError(TableErrorKind.UNCERTAIN))))
 
 
-def _time_out(world: World, gate: Gate) -> None:
-    world.add_late(gate)
+def _time_out(cluster: SimulatedCluster, gate: Gate) -> None:
+    cluster.add_late_write(gate)
     gate.future.set_result(Answer(0, Err(TableError(TableErrorKind.UNCERTAIN))))
 
 
-def _refuse(world: World, gate: Gate) -> None:
+def _refuse(cluster: SimulatedCluster, gate: Gate) -> None:
     gate.future.set_result(Answer(0, Err(TableError(TableErrorKind.UNAVAILABLE))))
 
 
-def _answer_later(world: World, gate: Gate) -> None:
-    result = _carry_out(world, gate)
-    held = Gate("table-answer", gate.process, gate.future, result=result)
-    world.gates.append(held)
+def _answer_later(cluster: SimulatedCluster, gate: Gate) -> None:
+    result = _run_operation(cluster, gate)
+    answer_gate = Gate("table-answer", gate.process, gate.future, result=result)
+    cluster.gates.append(answer_gate)
 
 
-def _hand_over(world: World, gate: Gate) -> None:
+def _deliver_result(cluster: SimulatedCluster, gate: Gate) -> None:
     gate.future.set_result(gate.result)
 
 
-def _pass(world: World, gate: Gate) -> None:
+def _pass(cluster: SimulatedCluster, gate: Gate) -> None:
     gate.future.set_result("passed")
 
 
-def _refuse_connection(world: World, gate: Gate) -> None:
+def _refuse_connection(cluster: SimulatedCluster, gate: Gate) -> None:
     gate.future.set_result("refused")
 
 
-WAYS = {
-    "table": (_go, _go, _go, _lose_answer, _time_out, _refuse, _answer_later, _read_stale),
-    "table-answer": (_hand_over, _time_out),
+GATE_ACTIONS = {
+    "table": (
+        _execute,
+        _execute,
+        _execute,
+        _lose_answer,
+        _time_out,
+        _refuse,
+        _answer_later,
+        _read_stale,
+    ),
+    "table-answer": (_deliver_result, _time_out),
     "message": (_pass,),
     "send": (_pass, _pass, _refuse_connection),
     "answer": (_pass,),
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_machine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_machine.py
@@ -1,4 +1,4 @@
-"""Requests that run at most once, against every order of steps and faults hypothesis finds."""
+"""At-most-once execution, in random orders of steps and faults."""
 
 import hypothesis.strategies as st
 import pytest
@@ -8,7 +8,7 @@
 
 from burdockquay_state import CancelOutcome, Claim, ClaimRow, ClaimState, ClaimStore, TableErrorKind
 
-from .once_world import RETENTION_S, OracleError, World
+from .once_cluster import RETENTION_S, OracleError, SimulatedCluster
 
 KEYS = st.sampled_from(["k0", "k0", "k1"])
 DIGESTS = st.sampled_from(["d0", "d0", "d0", "d1"])
@@ -19,63 +19,63 @@
 
 
 class OnceMachine(RuleBasedStateMachine):
-    """Callers, pauses, lost messages and crashes in any order."""
+    """Calls, pauses, lost messages and crashes in any order."""
 
     claim_store = ClaimStore
     checks_rows = True
 
     def __init__(self):
         super().__init__()
-        self.world = World(self.claim_store)
+        self.cluster = SimulatedCluster(self.claim_store)
 
     @rule(entry=TWO, key=KEYS, digest=DIGESTS, slots=st.sampled_from([[0], [0, 1], [1, 0]]))
     def call(self, entry, key, digest, slots):
-        self.world.call(entry, key, digest, slots)
+        self.cluster.call(entry, key, digest, slots)
 
     @rule(index=MANY, action=MANY)
     def open_gate(self, index, action):
-        self.world.open(index, action)
+        self.cluster.open(index, action)
 
     @rule(paused=PAUSED, count=st.integers(1, 12))
-    def go_on(self, paused, count):
+    def execute_steps(self, paused, count):
         for _ in range(count):
-            self.world.open_first(paused)
+            self.cluster.open_first(paused)
 
     @rule(index=MANY)
     def lose_peer(self, index):
-        self.world.lose_peer(index)
+        self.cluster.lose_peer(index)
 
     @rule(index=MANY)
-    def land_late(self, index):
-        self.world.land_late(index)
+    def inject_late_write(self, index):
+        self.cluster.inject_late_write(index)
 
     @rule(role=st.sampled_from(["slot", "slot", "entry"]), index=TWO)
     def crash(self, role, index):
-        self.world.crash(role, index)
+        self.cluster.crash(role, index)
 
     @rule(seconds=STEPS_S)
     def wait(self, seconds):
-        self.world.now += seconds
+        self.cluster.now += seconds
 
     @rule()
     def sweep(self):
-        self.world.sweep()
+        self.cluster.sweep()
 
     @invariant()
-    def callers_were_told_the_truth(self):
-        self.world.oracle.check()
+    def results_match_effects(self):
+        self.cluster.oracle.check()
 
     def teardown(self):
         try:
-            self.world.heal()
+            self.cluster.heal()
             if self.checks_rows:
-                self.world.check_rows()
+                self.cluster.check_rows()
         finally:
-            self.world.close()
+            self.cluster.close()
 
 
 def run_machine(claim_store, number, examples, steps=60, phases=(Phase.generate,)):
-    """Run the machine over ``examples`` histories drawn from the seed ``number``."""
+    """Run the machine over ``examples`` histories generated from the seed ``number``."""
     machine = type(f"OnceMachine{claim_store.__name__}", (OnceMachine,), {})
     machine.claim_store = claim_store
     machine.checks_rows = claim_store is ClaimStore
@@ -85,16 +85,16 @@
     run_state_machine_as_test(seed(number)(machine), settings=chosen)
 
 
-def test_every_history_keeps_the_promises():
+def test_invariants_hold_in_every_history():
     """A slot pauses, crashes or loses the table between any two of its steps, while the caller
-    repeats its request through another entry. A user would find a chapel booked twice, or booked
-    although the caller was told that nothing ran.
+    repeats its request through another entry. The request must not run twice, nor run although it
+    was reported as not run.
     """
     run_machine(ClaimStore, number=5, examples=150)
 
 
 class WithoutClaim(ClaimStore):
-    """Lets every attempt through without a write."""
+    """Permits every attempt without a write."""
 
     async def claim(self, request, now):
         row = ClaimRow(
@@ -111,7 +111,7 @@
 
 
 class WithoutCancel(ClaimStore):
-    """Reads instead of writing: a row that is unchanged counts as cancelled."""
+    """Reads instead of writing: an unchanged row counts as cancelled."""
 
     async def cancel(self, organisation, key, expected_version, digest, now):
         found = await self.read(organisation, key)
@@ -127,7 +127,7 @@
 
 
 class WithoutReadBack(ClaimStore):
-    """Takes a write whose confirmation was lost for one that took effect."""
+    """Assumes that a write without a confirmation took effect."""
 
     async def _write(self, row_key, row, expected_version):
         written = await super()._write(row_key, row, expected_version)
@@ -140,61 +140,63 @@
 
 
 @pytest.mark.parametrize("mutation", [WithoutClaim, WithoutCancel, WithoutReadBack])
-def test_oracle_finds_each_part_that_is_taken_out(mutation):
-    """If the claim, the cancellation or the read-back were lost in a change of the code, two
-    slots could run one request. The oracle has to notice, or the test above proves nothing.
+def test_oracle_detects_each_removed_part(mutation):
+    """If the claim, the cancellation or the read-back were removed, two slots could run one
+    request. The oracle must detect that, otherwise the test of the invariants is no evidence.
     """
-    with pytest.raises(OracleError, match="had an effect and was told|effects of key"):
+    with pytest.raises(
+        OracleError, match="had an effect and was reported as not run|effects of key"
+    ):
         run_machine(mutation, number=2, examples=2000)
 
 
-def test_row_written_late_by_a_paused_entry_still_shuts_out_an_attempt():
-    """An entry is paused for a day right before it cancels, so that its row bears an old time and
-    expires at once. A user would be told that the key was used before and nothing ran, and the
-    request would run when a paused slot wakes after the row is gone.
+def test_row_written_late_by_a_paused_entry_still_prevents_an_attempt():
+    """An entry is paused for a day just before it cancels, so that its row has an old time and
+    expires immediately. The caller would be told that the key was reused and nothing ran, and the
+    request would run when a paused slot resumes after the row has expired.
     """
-    world = World()
-    world.call(0, "k0", "d1", [0])
-    world.lose_peer(0)
-    world.now += RETENTION_S + 1.0
-    world.call(0, "k0", "d0", [0, 1])
-    world.lose_peer(0)
+    cluster = SimulatedCluster()
+    cluster.call(0, "k0", "d1", [0])
+    cluster.lose_peer(0)
+    cluster.now += RETENTION_S + 1.0
+    cluster.call(0, "k0", "d0", [0, 1])
+    cluster.lose_peer(0)
     for _ in range(4):
-        world.open_first(("slot", 1))
-    world.sweep()
-    world.heal()
-    world.close()
+        cluster.open_first(("slot", 1))
+    cluster.sweep()
+    cluster.heal()
+    cluster.close()
 
 
-def test_entry_paused_until_the_row_expired_does_not_say_not_run():
-    """An entry loses its slot and is paused for a day before it asks the table. The request ran,
-    its row expired, and the table looks as if nothing had happened.
+def test_entry_paused_until_the_row_expired_does_not_report_not_run():
+    """An entry loses its slot and is paused for a day before it reads the table. The request has
+    run, and its row has expired, so that the table has no trace of it.
     """
-    world = World()
-    world.call(0, "k0", "d0", [0])
-    world.lose_peer(0)
+    cluster = SimulatedCluster()
+    cluster.call(0, "k0", "d0", [0])
+    cluster.lose_peer(0)
     for _ in range(8):
-        world.open_first(("entry", 0))
-    assert world.oracle.effects.total() == 1
-    world.now += RETENTION_S + 1.0
-    world.sweep()
-    world.heal()
-    assert world.oracle.calls[0].told == "unknown"
-    world.close()
+        cluster.open_first(("entry", 0))
+    assert cluster.oracle.effects.total() == 1
+    cluster.now += RETENTION_S + 1.0
+    cluster.sweep()
+    cluster.heal()
+    assert cluster.oracle.calls[0].reported == "unknown"
+    cluster.close()
 
 
 def test_slot_paused_until_the_cancellation_expired_does_not_run():
-    """A slot is paused for a day with an attempt in its socket. The caller heard that it was not
+    """A slot is paused for a day with an attempt in its socket. The attempt was reported as not
     run, the cancelled row has expired, and the attempt finds no row, as it expects.
     """
-    world = World()
-    world.call(0, "k0", "d0", [0])
+    cluster = SimulatedCluster()
+    cluster.call(0, "k0", "d0", [0])
     for _ in range(2):
-        world.lose_peer(0)
-        world.open_first(("slot", 0))
-    assert world.oracle.calls[0].told == "not_run"
-    world.now += RETENTION_S + 1.0
-    world.sweep()
-    world.heal()
-    assert world.oracle.effects.total() == 0
-    world.close()
+        cluster.lose_peer(0)
+        cluster.open_first(("slot", 0))
+    assert cluster.oracle.calls[0].reported == "not_run"
+    cluster.now += RETENTION_S + 1.0
+    cluster.sweep()
+    cluster.heal()
+    assert cluster.oracle.effects.total() == 0
+    cluster.close()
