--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_configuration.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_configuration.py
@@ -39,7 +39,7 @@
 
 
 class ApplyStatus(enum.Enum):
-    """What became of a part of the log."""
+    """Result status of applying a part of the log."""
 
     APPLIED = "applied"
     NOT_NEWER = "not_newer"
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class ApplyOutcome:
-    """What became of a part of the log.
+    """Result of applying a part of the log.
 
     Parameters
     ----------
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
@@ -23,7 +23,7 @@
 )
 
 ROW_AGE_LIMIT_S = START_LIMIT_S / 2
-"""Largest age of a row, relative to its request, at which it will not expire too early, seconds."""
+"""How much older than a request a row may be for the entry to rely on its not expiring, seconds."""
 
 
 @attrs.frozen
@@ -176,7 +176,7 @@
 
         Notes
         -----
-        Only an outcome of this request counts. A cancellation, or another request with the key, is
+        Only the state of this request counts. A cancellation, or another request with the key, is
         no evidence about a claim that the table has lost.
         """
         if row.digest == ticket.digest and row.state is not ClaimState.CANCELLED:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
@@ -94,7 +94,7 @@
         """Return whether a claim may be made in an era; the table accepts only its own era."""
         return era == 0 or era == self._open_era == self.claims.memory.era
 
-    def has_waited(self, since: float) -> bool:
+    def is_claim_too_old(self, since: float) -> bool:
         """Return whether a claim begun at ``since`` is too old to send the request.
 
         Notes
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
@@ -103,7 +103,7 @@
         claim = claimed.ok()
         # A process that was paused during the claim could send the request after the caller got the
         # answer that the outcome is unknown, or after the row expired. Late attempts are abandoned.
-        if clock() >= claim.row.not_after or self.eras.has_waited(begun_at):
+        if clock() >= claim.row.not_after or self.eras.is_claim_too_old(begun_at):
             await self.outcomes.abandon(claim)
             return _refuse(run, ErrorKind.DEADLINE_EXCEEDED, "the claim was confirmed too late")
         return Ok(claim)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_places.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_places.py
@@ -119,7 +119,9 @@
             if classes[name].priority > record.priority
         )
         fixed = sum(
-            count for name, count in self._occupied.items() if not self._is_movable(name, classes)
+            count
+            for name, count in self._occupied.items()
+            if not self._is_preemptible(name, classes)
         )
         return min(free, self.places - min(kept, self.places - 1) - fixed)
 
@@ -171,7 +173,7 @@
         """Return the attempts in a state, in the order in which they entered it."""
         return list(self._by_state[state].values())
 
-    def _is_movable(self, class_name: str, classes: Mapping[str, ClassRecord]) -> bool:
+    def _is_preemptible(self, class_name: str, classes: Mapping[str, ClassRecord]) -> bool:
         record = classes.get(class_name)
         return self.can_pause and (record is None or is_movable(record))
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
@@ -49,7 +49,7 @@
     arrived yet, neither is quarantined, and the third crash decides.
 
     A crash is attributed to a quarantined request that was running: the requests that ran beside it
-    are not suspected because of this crash, and one that was quarantined because of it is cleared.
+    are not suspected because of this crash, and one that was quarantined because of it is released.
     A request that ran to completion is cleared.
 
     Two reports of the same crash must not add up, so the counts of peers are merged by the maximum.
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_shares.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_shares.py
@@ -49,7 +49,7 @@
         Wait of its oldest request, seconds.
     may_claim_share : bool
         False while the class runs as many requests as its share allows. Requests that have just
-        started have no tokens yet, and no more are started to make up for those tokens.
+        started have generated no tokens yet; no more are started to make up for that.
     """
 
     class_name: str
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_slots.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_slots.py
@@ -51,7 +51,7 @@
 
     Only protected work preempts. Preemption by every higher class is no alternative: under lasting
     overload some higher class always waits, so lower answers would be paused at once and for a long
-    time, and would miss their targets for the time between tokens.
+    time, and their time between tokens would be far above its target.
     """
 
     def __init__(
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
@@ -116,7 +116,9 @@
     def _check_answer(self, call: Call) -> None:
         ran = self.answers.get(call.answer.body)
         if ran is None or (ran.key, ran.digest) != (call.key, call.digest):
-            raise OracleError(f"{call.name} got the answer of another request: {call.answer}")
+            raise OracleError(
+                f"{call.name} got an answer that does not belong to it: {call.answer}"
+            )
 
 
 @attrs.define(eq=False)
@@ -133,7 +135,7 @@
 
 @attrs.frozen
 class AbandonedWrite:
-    """A write that its sender has abandoned but that may still reach the table."""
+    """A write that its sender abandoned at ``sent_at`` and that may still reach the table."""
 
     sent_at: float
     operations: list
