--- a/packages/burdockquay/src/burdockquay/_explain.py
+++ b/packages/burdockquay/src/burdockquay/_explain.py
@@ -1,4 +1,4 @@
-"""Puts the story of one request together from the logs of all processes."""
+"""Timeline of one request, collected from the logs of all processes."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 import attrs
 
-BEFORE = timedelta(seconds=5)
-"""Time before a request from which on changes of what its process knew are told: longer than a
+CONTEXT_BEFORE = timedelta(seconds=5)
+"""Period before a request for which state changes of its process are included: longer than a
 configuration or a list of upstreams may be out of date."""
 
-AFTER = timedelta(seconds=1)
-"""Time after its end up to which they are told: a loss is often noticed a little later."""
+CONTEXT_AFTER = timedelta(seconds=1)
+"""Period after the end of a request for which they are included: a failure is often detected a
+little later."""
 
-KNOWLEDGE = frozenset(
+STATE_CHANGE_EVENTS = frozenset(
     {
         "configuration_applied",
         "member_forgotten",
@@ -35,16 +36,16 @@
         "log_lines_held_back",
     }
 )
-"""Events of the process of a request that change what it knew."""
+"""Events that change the state on which a process bases its decisions about requests."""
 
-STORE_RETURN = frozenset({"configuration_kept", "store_returned", "upstreams_kept"})
-"""Such events about a store that came back from a copy."""
+STORE_RESTORATION_EVENTS = frozenset({"configuration_kept", "store_returned", "upstreams_kept"})
+"""Events of this kind that report the restoration of a store from a copy."""
 
-BEFORE_RETURN = timedelta(seconds=30)
-"""Time before a request from which on those are told: a process acts on what it kept until the
-writer of each row has written it again."""
+RESTORATION_CONTEXT_BEFORE = timedelta(seconds=30)
+"""Period before a request for which restorations are included: a process keeps using the rows it
+had until the writer of each row has written it again."""
 
-_HEAD = ("time", "level", "event", "name", "vm", "request")
+_COMMON_KEYS = ("time", "level", "event", "name", "vm", "request")
 
 
 @attrs.frozen
@@ -55,10 +56,11 @@
     ----------
     time : datetime
     vm, name : str
-        The process, and the name of the event.
+        VM of the process, and name of the event.
     request : str or None
+        Request id; None if the line is not about a request.
     fields : dict
-        Everything else.
+        All other fields.
     """
 
     time: datetime
@@ -70,7 +72,7 @@
     def mentions(self, upstreams: set[str]) -> bool:
         """Return whether the line is about one of the upstreams."""
         texts = (str(self.fields.get(name, "")) for name in _UPSTREAM_FIELDS)
-        # A list may name incarnations, which begin with the id.
+        # A list may hold incarnations, which have the form "id@...".
         names = {name.partition("@")[0] for text in texts for name in text.split(",")}
         return not upstreams.isdisjoint(names)
 
@@ -79,7 +81,7 @@
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the log lines among lines of text; others are passed over."""
+    """Yield the log lines among lines of text; all other lines are skipped."""
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -87,24 +89,25 @@
         try:
             values = json.loads(text[start:])
             time = datetime.fromisoformat(values["time"])
-            fields = {name: value for name, value in values.items() if name not in _HEAD}
+            fields = {name: value for name, value in values.items() if name not in _COMMON_KEYS}
             request = values.get("request")
             yield LogLine(time, str(values.get("vm", "")), values["name"], request, fields)
         except (ValueError, KeyError, TypeError, AttributeError):
             continue
 
 
-def tell_story(lines: Iterable[LogLine], request: str) -> list[LogLine]:
-    """Return what the logs know of a request, in the order of time.
+def collect_timeline(lines: Iterable[LogLine], request: str) -> list[LogLine]:
+    """Return the log lines that are relevant to a request, ordered by time.
 
-    That are its own lines, changes of what its process knew, and what happened to the upstreams it
-    was sent to. Clocks of different processes may differ by some milliseconds.
+    These are its own lines, state changes of the processes that served it, and the events at these
+    processes about the upstreams it was sent to. The clocks of different processes may differ by a
+    few milliseconds.
     """
     all_lines = sorted(lines, key=lambda line: line.time)
     own = [line for line in all_lines if line.request == request]
     if not own:
         return []
-    last = own[-1].time + AFTER
+    last = own[-1].time + CONTEXT_AFTER
     vms = {line.vm for line in own}
     upstreams = {
         name
@@ -118,27 +121,30 @@
         for line in all_lines
         if line.request == request
         or (
-            own[0].time - _time_before(line.name) <= line.time <= last
+            own[0].time - _context_before(line.name) <= line.time <= last
             and line.request is None
             and line.vm in vms
-            and (line.name in KNOWLEDGE | STORE_RETURN or line.mentions(upstreams))
+            and (
+                line.name in STATE_CHANGE_EVENTS | STORE_RESTORATION_EVENTS
+                or line.mentions(upstreams)
+            )
         )
     ]
 
 
-def _time_before(event: str) -> timedelta:
-    """Return how long before a request an event may be to be told."""
-    return BEFORE_RETURN if event in STORE_RETURN else BEFORE
+def _context_before(event: str) -> timedelta:
+    """Return how long before a request an event is still included."""
+    return RESTORATION_CONTEXT_BEFORE if event in STORE_RESTORATION_EVENTS else CONTEXT_BEFORE
 
 
-def count_failures(lines: Iterable[LogLine], story: list[LogLine]) -> dict[str, int]:
-    """Return how often other requests failed at each upstream of a story, in its time."""
-    if not story:
+def count_failures(lines: Iterable[LogLine], timeline: list[LogLine]) -> dict[str, int]:
+    """Count the failed sends of other requests at each upstream of a timeline, during its time."""
+    if not timeline:
         return {}
-    told = [line.time for line in story if line.name not in STORE_RETURN]
-    first, last = told[0], told[-1]
-    own = {line.request for line in story} - {None}
-    upstreams = {str(line.fields["upstream"]) for line in story if "upstream" in line.fields}
+    included_times = [line.time for line in timeline if line.name not in STORE_RESTORATION_EVENTS]
+    first, last = included_times[0], included_times[-1]
+    own = {line.request for line in timeline} - {None}
+    upstreams = {str(line.fields["upstream"]) for line in timeline if "upstream" in line.fields}
     counts: dict[str, int] = {}
     for line in lines:
         upstream = line.fields.get("upstream")
@@ -149,7 +155,7 @@
 
 
 def format_line(line: LogLine, start: datetime, request: str) -> str:
-    """Return a line of a story for people: time since its start, process, event and fields."""
+    """Return a line of a timeline as text: time since its start, VM, event and fields."""
     mark = "*" if line.request == request else " "
     fields = " ".join(f"{name}={value}" for name, value in line.fields.items())
     seconds = (line.time - start).total_seconds()
--- a/packages/burdockquay/src/burdockquay/_explain_command.py
+++ b/packages/burdockquay/src/burdockquay/_explain_command.py
@@ -1,4 +1,4 @@
-"""The command ``burdockquay explain``."""
+"""The sub-command ``burdockquay explain``."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from ._explain import count_failures, format_line, read_lines, tell_story
+from ._explain import collect_timeline, count_failures, format_line, read_lines
 from ._output import ExitCode
 
 
 def read_texts(files: Sequence[Path]) -> list[str] | None:
-    """Return the lines of files, or of standard input if there are none.
+    """Return the lines of files, or of standard input if no files are given.
 
-    None if one cannot be read, which is told on standard error.
+    Prints an error and returns None if a file cannot be read.
     """
     if not files:
         return sys.stdin.read().splitlines()
@@ -28,29 +28,30 @@
 
 
 def explain(request: str, *files: Path) -> int:
-    """Tell what happened to one request, from the logs of all processes.
+    """Show what happened to one request, from the logs of all processes.
 
-    Lines marked with a star are the request's own; the others tell what changed around it for the
-    process that served it. Times count from the first line of the request.
+    Lines marked with an asterisk belong to the request; the others are events of the process that
+    served it which may have affected the request. Times are relative to the first line of the
+    request.
 
     Parameters
     ----------
     request
         Id of the request.
     files
-        Logs of forwarders; standard input if there are none.
+        Logs of forwarders; defaults to standard input.
     """
     texts = read_texts(files)
     if texts is None:
         return ExitCode.ARGUMENTS
     lines = list(read_lines(texts))
-    story = tell_story(lines, request)
-    if not story:
-        print(f"no line of {len(lines)} is about request {request}", file=sys.stderr)
+    timeline = collect_timeline(lines, request)
+    if not timeline:
+        print(f"none of {len(lines)} log lines is about request {request}", file=sys.stderr)
         return ExitCode.NOT_FOUND
-    start = next(line.time for line in story if line.request == request)
-    for line in story:
+    start = next(line.time for line in timeline if line.request == request)
+    for line in timeline:
         print(format_line(line, start, request))
-    for upstream, count in sorted(count_failures(lines, story).items()):
-        print(f"  in this time {count} other sends failed at {upstream}")
+    for upstream, count in sorted(count_failures(lines, timeline).items()):
+        print(f"  meanwhile {count} other sends failed at {upstream}")
     return ExitCode.DONE
--- a/packages/burdockquay/src/burdockquay/_losses.py
+++ b/packages/burdockquay/src/burdockquay/_losses.py
@@ -1,4 +1,4 @@
-"""Sorts the requests in logs by what made them late or fail."""
+"""Classification of the requests in logs by why they were late or failed."""
 
 from __future__ import annotations
 
@@ -9,37 +9,40 @@
 
 from ._explain import LogLine
 
-WAITED_SHARE = 0.5
-"""Part of the time to the first event above which the wait in the forwarder is the cause of a late
-one, and below which the upstream is."""
+FORWARDER_WAIT_SHARE = 0.5
+"""Share of the time to the first event spent waiting in the forwarder above which this wait is the
+cause of a late request; otherwise the upstream is."""
 
-EXAMPLES = 3
-"""Ids that are shown for each cause, for the command that explains one request."""
+EXAMPLE_LIMIT = 3
+"""Number of request ids shown for each cause, as input for ``burdockquay explain``."""
 
-OK_BELOW = 400
+FIRST_ERROR_STATUS = 400
 
 
 @attrs.frozen
-class Ended:
-    """One request as the logs tell it.
+class EndedRequest:
+    """One finished request, as recorded in the logs.
 
     Parameters
     ----------
     id, route : str
     time : datetime
-        When it ended.
+        Time of its end.
     status : int
-        0 if its caller left.
+        HTTP status; 0 if the caller disconnected.
     reason : str
     seconds : float
+        Total duration, seconds.
     first_s : float or None
-        Time to its first event, seconds.
+        Time to the first event of the answer, seconds; None for an answer without events.
     waited_s : float
-        Time before its first send, seconds.
+        Time before the first send to an upstream, seconds.
     target_s : float
+        Target for ``latency_s``, seconds.
     pause_s, pause_target_s : float or None
-        Longest pause between events, and the longest with which it is in time, seconds.
+        Longest pause between events and its target, seconds.
     sends : int
+        Number of sends to upstreams.
     """
 
     id: str
@@ -56,8 +59,8 @@
     sends: int
 
     @property
-    def reached_s(self) -> float:
-        """Time that counts against the target: to the first event, or to the whole answer."""
+    def latency_s(self) -> float:
+        """Time compared with the target: to the first event, or to the complete answer."""
         return self.seconds if self.first_s is None else self.first_s
 
 
@@ -69,18 +72,19 @@
     ----------
     name : str
     fits : callable
-        Returns whether it is the cause of a request that no earlier one of the table fits.
+        Returns whether this is the cause of a request, given that no earlier cause in ``CAUSES``
+        matches it.
     """
 
     name: str
-    fits: Callable[[Ended], bool]
+    matches: Callable[[EndedRequest], bool]
 
 
-def _is_late(item: Ended) -> bool:
-    return item.reached_s > item.target_s
+def _is_late(item: EndedRequest) -> bool:
+    return item.latency_s > item.target_s
 
 
-def _is_slow(item: Ended) -> bool:
+def _is_slow(item: EndedRequest) -> bool:
     limit_s = item.pause_target_s
     return limit_s is not None and item.pause_s is not None and item.pause_s > limit_s
 
@@ -91,26 +95,26 @@
     Cause("caller left", lambda item: item.status == 0),
     Cause("cut midway", lambda item: item.reason.startswith("cut")),
     Cause("refused", lambda item: item.status in (429, 503)),
-    Cause("failed at upstreams", lambda item: item.status >= OK_BELOW and item.sends > 0),
-    Cause("refused for good", lambda item: item.status >= OK_BELOW),
+    Cause("failed at upstreams", lambda item: item.status >= FIRST_ERROR_STATUS and item.sends > 0),
+    Cause("refused for good", lambda item: item.status >= FIRST_ERROR_STATUS),
     Cause(
         "late, waited here",
-        lambda item: _is_late(item) and item.waited_s > WAITED_SHARE * item.reached_s,
+        lambda item: _is_late(item) and item.waited_s > FORWARDER_WAIT_SHARE * item.latency_s,
     ),
     Cause("late at its upstream", _is_late),
     Cause("written too slowly", _is_slow),
     Cause(IN_TIME, lambda item: True),
 )
-"""In the order in which they are asked."""
+"""Causes in the order in which they are checked."""
 
 
-def find_cause(item: Ended) -> str:
-    """Return the name of the first cause that fits a request."""
-    return next(cause.name for cause in CAUSES if cause.fits(item))
+def find_cause(item: EndedRequest) -> str:
+    """Return the name of the first cause that matches a request."""
+    return next(cause.name for cause in CAUSES if cause.matches(item))
 
 
-def read_ended(lines: Iterable[LogLine]) -> list[Ended]:
-    """Return the requests that ended, in the order of their ends."""
+def read_ended_requests(lines: Iterable[LogLine]) -> list[EndedRequest]:
+    """Return the finished requests, ordered by the time of their end."""
     waited: dict[str, float] = {}
     found = []
     for line in lines:
@@ -123,9 +127,9 @@
     return sorted(found, key=lambda item: item.time)
 
 
-def _read(line: LogLine, waited_s: float) -> Ended:
+def _read(line: LogLine, waited_s: float) -> EndedRequest:
     fields = line.fields
-    return Ended(
+    return EndedRequest(
         id=str(line.request),
         route=str(fields.get("route", "")),
         time=line.time,
@@ -143,16 +147,16 @@
 
 @attrs.frozen
 class LossRow:
-    """The requests of one route with one cause.
+    """Count of the requests of one route with one cause.
 
     Parameters
     ----------
     route, cause : str
     count : int
     share : float
-        Of the requests of the route.
+        Share of the requests of the route.
     examples : tuple of str
-        Ids of the first ones.
+        Ids of the first requests.
     """
 
     route: str
@@ -162,16 +166,16 @@
     examples: tuple[str, ...]
 
 
-def count_losses(ended: Iterable[Ended]) -> list[LossRow]:
-    """Return a row for each route and cause, the busiest routes first."""
+def count_losses(ended: Iterable[EndedRequest]) -> list[LossRow]:
+    """Return one row for each route and cause, routes with the most requests first."""
     by_route: dict[str, dict[str, list[str]]] = {}
     for item in ended:
         by_route.setdefault(item.route, {}).setdefault(find_cause(item), []).append(item.id)
     rows = []
-    for route, causes in sorted(by_route.items(), key=lambda entry: -_total(entry[1])):
+    for route, causes in sorted(by_route.items(), key=lambda pair: -_total(pair[1])):
         total = _total(causes)
-        for cause, ids in sorted(causes.items(), key=lambda entry: -len(entry[1])):
-            examples = () if cause == IN_TIME else tuple(ids[:EXAMPLES])
+        for cause, ids in sorted(causes.items(), key=lambda pair: -len(pair[1])):
+            examples = () if cause == IN_TIME else tuple(ids[:EXAMPLE_LIMIT])
             rows.append(LossRow(route, cause, len(ids), len(ids) / total, examples))
     return rows
 
@@ -181,18 +185,19 @@
 
 
 @attrs.frozen
-class Moment:
-    """The requests that ended in one span of time.
+class SpanSummary:
+    """Summary of the requests that ended in one span of time.
 
     Parameters
     ----------
     start_s : float
-        Seconds since the first one ended.
+        Start of the span, seconds after the end of the first request.
     count : int
+        Number of requests.
     in_time : float
-        Share of them.
+        Share of the requests that were in time.
     worst : str
-        The most frequent other cause, empty if there is none.
+        Most frequent cause of the other requests; empty if there are none.
     """
 
     start_s: float
@@ -201,23 +206,24 @@
     worst: str
 
 
-def count_moments(ended: list[Ended], span_s: float) -> list[Moment]:
-    """Return how requests ended in each span of time.
+def summarize_spans(ended: list[EndedRequest], span_s: float) -> list[SpanSummary]:
+    """Return a summary for each span of time in which requests ended.
 
     Parameters
     ----------
     ended : list of Ended
-        In the order of their ends.
+        Ordered by the time of their end.
     span_s : float
+        Length of a span, seconds.
     """
     spans: dict[int, list[str]] = {}
     for item in ended:
         age_s = (item.time - ended[0].time).total_seconds()
         spans.setdefault(int(age_s / span_s), []).append(find_cause(item))
-    return [_describe(number * span_s, causes) for number, causes in sorted(spans.items())]
+    return [_summarize_span(number * span_s, causes) for number, causes in sorted(spans.items())]
 
 
-def _describe(start_s: float, causes: list[str]) -> Moment:
+def _summarize_span(start_s: float, causes: list[str]) -> SpanSummary:
     lost = [cause for cause in causes if cause != IN_TIME]
     worst = max(sorted(set(lost)), key=lost.count, default="")
-    return Moment(start_s, len(causes), 1 - len(lost) / len(causes), worst)
+    return SpanSummary(start_s, len(causes), 1 - len(lost) / len(causes), worst)
--- a/packages/burdockquay/src/burdockquay/_losses_command.py
+++ b/packages/burdockquay/src/burdockquay/_losses_command.py
@@ -1,4 +1,4 @@
-"""The command ``burdockquay losses``."""
+"""The sub-command ``burdockquay losses``."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from ._explain import read_lines
 from ._explain_command import read_texts
-from ._losses import count_losses, count_moments, read_ended
+from ._losses import count_losses, read_ended_requests, summarize_spans
 from ._output import ExitCode
 
 
 def losses(*files: Path, span_s: float = 2.0) -> int:
-    """Tell by route and cause which requests were late or failed, and when.
+    """Count late and failed requests by route and cause, and by time.
 
-    The ids in the last column are examples for ``burdockquay explain``.
+    The ids in the last column are examples that can be passed to ``burdockquay explain``.
 
     Parameters
     ----------
     files
-        Logs of forwarders; standard input if there are none.
+        Logs of forwarders; defaults to standard input.
     span_s
-        Length of the spans of time that the second table counts, seconds.
+        Length of the time spans in the second table, seconds.
     """
     texts = read_texts(files)
     if texts is None:
@@ -29,17 +29,17 @@
     if span_s <= 0:
         print("span-s: expected more than 0", file=sys.stderr)
         return ExitCode.ARGUMENTS
-    ended = read_ended(read_lines(texts))
+    ended = read_ended_requests(read_lines(texts))
     if not ended:
-        print("no line tells how a request ended", file=sys.stderr)
+        print("no log line reports the end of a request", file=sys.stderr)
         return ExitCode.NOT_FOUND
     print(f"{'route':20} {'cause':22} {'requests':>8} {'share':>6}  examples")
     for row in count_losses(ended):
         examples = " ".join(row.examples)
         print(f"{row.route:20} {row.cause:22} {row.count:8} {row.share:6.3f}  {examples}")
     print()
-    print(f"{'from second':>11} {'requests':>8} {'in time':>7}  most others were")
-    for moment in count_moments(ended, span_s):
-        figures = f"{moment.start_s:11.1f} {moment.count:8} {moment.in_time:7.3f}"
-        print(f"{figures}  {moment.worst}".rstrip())
+    print(f"{'from second':>11} {'requests':>8} {'in time':>7}  main cause of others")
+    for summary in summarize_spans(ended, span_s):
+        figures = f"{summary.start_s:11.1f} {summary.count:8} {summary.in_time:7.3f}"
+        print(f"{figures}  {summary.worst}".rstrip())
     return ExitCode.DONE
--- a/packages/burdockquay/src/burdockquay/tests/test_explain.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_explain.py
@@ -1,10 +1,10 @@
-"""The story of a request from the logs."""
+"""Tests of the timeline of a request that is collected from logs."""
 
 import json
 
 import pytest
 
-from burdockquay._explain import count_failures, read_lines, tell_story
+from burdockquay._explain import collect_timeline, count_failures, read_lines
 from burdockquay.cli import app
 
 
@@ -28,9 +28,9 @@
 ]
 
 
-def test_story_holds_the_request_and_what_changed_around_it():
-    story = tell_story(read_lines(LOG), "r1")
-    assert [(item.name, item.request) for item in story] == [
+def test_timeline_holds_the_request_and_changes_around_it():
+    timeline = collect_timeline(read_lines(LOG), "r1")
+    assert [(item.name, item.request) for item in timeline] == [
         ("configuration_applied", None),
         ("call_sent", "r1"),
         ("send_failed", "r1"),
@@ -39,8 +39,9 @@
     ]
 
 
-def test_story_tells_of_a_return_of_the_store_long_before_the_request():
-    """A request is refused on a kept configuration, and nothing says that it was kept."""
+def test_timeline_includes_a_restoration_of_the_store_long_before_the_request():
+    """Guards against a request rejected because of a kept configuration, where the timeline does
+    not show that it was kept."""
     log = [
         line(1.0, "store_returned", era=2),
         line(1.1, "configuration_kept", revision=4, shown=3),
@@ -49,8 +50,8 @@
         line(1.4, "store_returned", vm="edge-2", era=2),
         line(9.0, "call_refused", request="r1", kind="configuration_stale"),
     ]
-    story = tell_story(read_lines(log), "r1")
-    assert [item.name for item in story] == [
+    timeline = collect_timeline(read_lines(log), "r1")
+    assert [item.name for item in timeline] == [
         "store_returned",
         "configuration_kept",
         "upstreams_kept",
@@ -58,7 +59,7 @@
     ]
 
 
-def test_failures_before_a_return_are_not_counted_among_those_of_the_request():
+def test_failures_between_a_restoration_and_the_request_are_not_counted():
     log = [
         line(1.0, "store_returned", era=2),
         line(2.0, "send_failed", request="r0", upstream="i-1"),
@@ -67,7 +68,7 @@
         line(9.2, "call_ended", request="r1", upstreams="i-1"),
     ]
     lines = list(read_lines(log))
-    assert count_failures(lines, tell_story(lines, "r1")) == {"i-1": 1}
+    assert count_failures(lines, collect_timeline(lines, "r1")) == {"i-1": 1}
 
 
 def run(*words):
@@ -83,14 +84,14 @@
     return path
 
 
-def test_command_tells_the_story_and_how_others_fared(log_file, capsys):
+def test_command_prints_the_timeline_and_failures_of_other_requests(log_file, capsys):
     assert run("r1", str(log_file)) == 0
     text = capsys.readouterr().out
     assert "*    +0.000 s  edge-1  call_sent" in text
     assert "1 other sends failed at i-1" in text
 
 
-def test_unknown_request_and_missing_file_have_exit_codes_of_their_own(log_file, capsys):
+def test_unknown_request_and_missing_file_have_separate_exit_codes(log_file, capsys):
     assert run("nobody", str(log_file)) == 7
     assert run("r1", str(log_file) + ".gone") == 2
     assert "cannot be read" in capsys.readouterr().err
--- a/packages/burdockquay/src/burdockquay/tests/test_losses.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_losses.py
@@ -1,11 +1,17 @@
-"""Late and failed requests by cause, from the logs."""
+"""Tests of the classification of late and failed requests in logs."""
 
 import json
 
 import pytest
 
 from burdockquay._explain import read_lines
-from burdockquay._losses import IN_TIME, count_losses, count_moments, find_cause, read_ended
+from burdockquay._losses import (
+    IN_TIME,
+    count_losses,
+    find_cause,
+    read_ended_requests,
+    summarize_spans,
+)
 from burdockquay.cli import app
 
 
@@ -55,29 +61,29 @@
 
 
 @pytest.mark.parametrize(("fields", "cause"), CASES)
-def test_each_request_has_the_first_cause_that_fits(fields, cause):
-    (item,) = read_ended(read_lines([ended("r1", **fields)]))
+def test_request_has_the_first_cause_that_matches(fields, cause):
+    (item,) = read_ended_requests(read_lines([ended("r1", **fields)]))
     assert find_cause(item) == cause
 
 
-def test_late_request_that_waited_here_is_told_from_one_that_waited_at_its_upstream():
+def test_wait_in_the_forwarder_is_distinguished_from_a_wait_at_the_upstream():
     lines = [sent("r1", 0.6), sent("r1", 0.9), ended("r1", first_s=0.9)]
-    (item,) = read_ended(read_lines(lines))
+    (item,) = read_ended_requests(read_lines(lines))
     assert find_cause(item) == "late, waited here"
 
 
-def test_rows_count_by_route_and_name_examples():
+def test_rows_hold_counts_by_route_and_examples():
     lines = [ended(f"r{number}", status=503, sends=0, at=number) for number in range(5)]
     lines += [ended("r9", at=9)]
-    lost, kept = count_losses(read_ended(read_lines(lines)))
+    lost, kept = count_losses(read_ended_requests(read_lines(lines)))
     assert (lost.cause, lost.count, lost.examples) == ("refused", 5, ("r0", "r1", "r2"))
     assert (kept.cause, kept.count, kept.examples) == (IN_TIME, 1, ())
     assert lost.share == pytest.approx(5 / 6)
 
 
-def test_moments_tell_when_and_why():
+def test_spans_show_when_and_why_requests_were_late():
     lines = [ended("r1", at=1.0), ended("r2", at=1.5, first_s=0.9), ended("r3", at=6.0)]
-    first, second = count_moments(read_ended(read_lines(lines)), 2.0)
+    first, second = summarize_spans(read_ended_requests(read_lines(lines)), 2.0)
     assert (first.start_s, first.count, first.in_time) == (0.0, 2, 0.5)
     assert first.worst == "late at its upstream"
     assert (second.start_s, second.in_time, second.worst) == (4.0, 1.0, "")
@@ -100,7 +106,7 @@
 @pytest.mark.parametrize(
     ("words", "code"), [(["/nonexistent.log"], 2), (["--span-s", "0", "{log}"], 2), (["{log}"], 7)]
 )
-def test_mistakes_have_a_clear_error(words, code, tmp_path, capsys):
+def test_invalid_input_has_an_error_message_and_exit_code(words, code, tmp_path, capsys):
     log = tmp_path / "empty.log"
     log.write_text("nothing\n")
     assert run(*[word.format(log=log) for word in words]) == code
