--- a/packages/burdockquay/src/burdockquay/_bundle.py
+++ b/packages/burdockquay/src/burdockquay/_bundle.py
@@ -1,6 +1,6 @@
-"""The compiled modules of a process in one file, from which they are loaded at the start.
+"""Bundle of compiled modules in one file, from which a process loads them at startup.
 
-Loaded before everything else; imports little.
+This module is imported before all others and therefore has few imports itself.
 """
 
 from __future__ import annotations
@@ -11,50 +11,53 @@
 from importlib.machinery import ModuleSpec
 from types import ModuleType
 
-Entry = tuple[str, str, bool, int, int]
-"""Root, path below it, whether it is a package, position behind the index and size of the code."""
+ModuleEntry = tuple[str, str, bool, int, int]
+"""Root, path below it, whether it is a package, offset after the index and size of the code."""
 
 ROOTS = {
     "libraries": os.path.dirname(os.path.dirname(os.path.abspath(__file__))),
     "python": os.path.dirname(os.__file__),
 }
-"""The folders that the paths in a bundle are relative to, as it may be made elsewhere."""
+"""Folders that the paths in a bundle are relative to, since it may be built elsewhere."""
 
 FILE = os.path.join(ROOTS["libraries"], "modules.bundle")
-"""Where the bundle of an installation stands, if it has one."""
+"""Path of the bundle of an installation; the file is optional."""
 
-INDEX_SIZE_BYTES = 8
+INDEX_SIZE_FIELD_BYTES = 8
 
 
 class BundleFinder:
-    """Finds modules in a bundle.
+    """Meta path finder and loader for the modules in a bundle.
 
-    A process loads some 400 modules when it starts, and callers wait for that after a loss of
-    power. The ordinary way looks into four folders for each and opens a file, some 5,700 calls to
-    the operating system in all; with a bundle there are 1,800. A forwarder on 0.8 of a core then
-    serves 0.49 s after its start instead of 0.61 s (means of three times twelve starts).
+    A process loads about 400 modules at startup, and callers wait for that after a power failure.
+    The default import system searches four folders for each module and opens a file, about 5,700
+    system calls in total; with a bundle there are 1,800. A forwarder on 0.8 of a core then serves
+    0.49 s after its start instead of 0.61 s (means of three times twelve starts).
 
     Parameters
     ----------
     fd : int
-        The open bundle.
+        File descriptor of the open bundle.
     start : int
-        Where the index ends.
+        Offset of the code in the file, which is where the index ends, bytes.
     index : dict of str to Entry
+        Module name to its entry.
     roots : dict of str to str
         Folder of each root.
     """
 
-    def __init__(self, fd: int, start: int, index: dict[str, Entry], roots: dict[str, str]):
+    def __init__(
+        self, fd: int, code_offset: int, index: dict[str, ModuleEntry], roots: dict[str, str]
+    ):
         self.fd = fd
-        self.start = start
+        self.code_offset = code_offset
         self.index = index
         self.roots = roots
 
     def find_spec(
         self, name: str, path: object = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """Return how a module is loaded, None if it is not in the bundle."""
+        """Return the spec of a module, or None if it is not in the bundle."""
         entry = self.index.get(name)
         if entry is None:
             return None
@@ -67,54 +70,54 @@
         return spec
 
     def create_module(self, spec: ModuleSpec) -> None:
-        """Leave the making of the module to the interpreter."""
+        """Return None, so that the interpreter creates the module."""
 
     def exec_module(self, module: ModuleType) -> None:
         """Run the code of a module."""
-        _, _, _, position, size = self.index[module.__name__]
-        exec(marshal.loads(os.pread(self.fd, size, self.start + position)), module.__dict__)
+        _, _, _, offset, size = self.index[module.__name__]
+        exec(marshal.loads(os.pread(self.fd, size, self.code_offset + offset)), module.__dict__)
 
 
 def use_bundle(file: str = FILE, roots: dict[str, str] = ROOTS) -> None:
-    """Load modules from a bundle from now on, if there is one for this interpreter."""
+    """Install a finder for a bundle, if there is one and it was built for this interpreter."""
     try:
         fd = os.open(file, os.O_RDONLY)
     except OSError:
         return
-    size = int.from_bytes(os.pread(fd, INDEX_SIZE_BYTES, 0), "little")
-    version, index = marshal.loads(os.pread(fd, size, INDEX_SIZE_BYTES))
+    size = int.from_bytes(os.pread(fd, INDEX_SIZE_FIELD_BYTES, 0), "little")
+    version, index = marshal.loads(os.pread(fd, size, INDEX_SIZE_FIELD_BYTES))
     if version != sys.version:
         os.close(fd)
         return
-    sys.meta_path.insert(0, BundleFinder(fd, INDEX_SIZE_BYTES + size, index, roots))
+    sys.meta_path.insert(0, BundleFinder(fd, INDEX_SIZE_FIELD_BYTES + size, index, roots))
 
 
 def write_bundle(file: str, names: list[str], roots: dict[str, str] = ROOTS) -> int:
-    """Write the modules that are loaded and have code, and return how many.
+    """Write the code of loaded modules to a bundle and return the number of modules written.
 
     Parameters
     ----------
     file : str
     names : list of str
-        Modules that are loaded; those without code of their own are left out.
+        Names of loaded modules; modules without code of their own are skipped.
     roots : dict of str to str
-        Folders in which their files stand; what is elsewhere is left out.
+        Folders that contain their files; modules outside of them are skipped.
     """
     codes: list[bytes] = []
-    index: dict[str, Entry] = {}
-    position = 0
+    index: dict[str, ModuleEntry] = {}
+    offset = 0
     for name in names:
         found = _find_code(name, roots)
         if found is None:
             continue
         root, relative, is_package, code = found
-        index[name] = (root, relative, is_package, position, len(code))
+        index[name] = (root, relative, is_package, offset, len(code))
         codes.append(code)
-        position += len(code)
-    head = marshal.dumps((sys.version, index))
+        offset += len(code)
+    header = marshal.dumps((sys.version, index))
     with open(file, "wb") as out:
-        out.write(len(head).to_bytes(INDEX_SIZE_BYTES, "little"))
-        out.write(head)
+        out.write(len(header).to_bytes(INDEX_SIZE_FIELD_BYTES, "little"))
+        out.write(header)
         out.writelines(codes)
     return len(index)
 
--- a/packages/burdockquay/src/burdockquay/_daemon_command.py
+++ b/packages/burdockquay/src/burdockquay/_daemon_command.py
@@ -1,4 +1,4 @@
-"""The command line of the daemon: help, version, and what is said of mistakes."""
+"""Command line of the daemon: help, version and messages about invalid arguments."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @app.command
 def entry(*, settings: Path) -> int:
-    """Run an entry: the process that callers talk to.
+    """Run an entry: the process that callers connect to.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
 
 @app.command
 def slot(*, settings: Path) -> int:
-    """Run a slot: the process beside one upstream.
+    """Run a slot: the process that runs next to one upstream.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
 
 @app.command
 def forwarder(*, settings: Path) -> int:
-    """Run a forwarder: the process that passes callers' requests to upstreams as they are.
+    """Run a forwarder: the process that forwards callers' requests to upstreams unchanged.
 
     Parameters
     ----------
--- a/packages/burdockquay/src/burdockquay/_early_signals.py
+++ b/packages/burdockquay/src/burdockquay/_early_signals.py
@@ -1,6 +1,7 @@
-"""Signals that come before a process can act on them.
+"""Signals that arrive before a process can handle them.
 
-Loaded before everything else by a process that has to listen soon; imports little.
+This module is imported before all others by a process that has to listen early, and therefore has
+few imports itself.
 """
 
 from __future__ import annotations
@@ -11,43 +12,44 @@
 from typing import Any
 
 HANDLED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-"""Signals that a process acts on; without a handler each would end it at once."""
+"""Signals that a process handles; without a handler each would end it immediately."""
 
 
 class EarlySignals:
-    """Keeps the signals that come while a process loads and starts.
+    """Records the signals that arrive while a process loads and starts.
 
-    Callers may wait in the queue of a process that is still loading. Ended by a signal, it would
-    reset their connections; one that only names changed settings would end it too.
+    Callers may already be waiting in the listen queue of a process that is still loading. If a
+    signal ended the process, their connections would be reset; SIGHUP, which only announces changed
+    settings, would end it too.
 
     Notes
     -----
-    Not an attrs class: loading attrs would take longer than all that this module does.
+    Not an attrs class: importing attrs would take longer than everything else in this module.
     """
 
     def __init__(self):
-        self._kept: list[tuple[int, float]] = []
+        self._pending: list[tuple[int, float]] = []
 
-    def keep(self) -> None:
-        """Keep each signal from now on."""
+    def start_recording(self) -> None:
+        """Install handlers that record each signal with the time of its arrival."""
         for number in HANDLED:
-            signal.signal(number, self._note)
+            signal.signal(number, self._record)
 
-    def hand_over(self, loop: Any, handlers: Mapping[int, Callable[[float], None]]) -> None:
-        """Let an event loop handle the signals, and handle those that came before.
+    def attach_loop(self, loop: Any, handlers: Mapping[int, Callable[[float], None]]) -> None:
+        """Install handlers in an event loop and call them for the signals recorded so far.
 
         Parameters
         ----------
         loop : AbstractEventLoop
         handlers : mapping
-            What each of ``HANDLED`` brings about; called with the age of the signal, seconds.
+            Handler for each signal of ``HANDLED``; called with the age of the signal, seconds.
         """
         for number, handle in handlers.items():
             loop.add_signal_handler(number, handle, 0.0)
         now = time.clock_gettime(time.CLOCK_BOOTTIME)
-        kept, self._kept = self._kept, []
-        for number, at in kept:
+        pending, self._pending = self._pending, []
+        for number, at in pending:
             handlers[number](now - at)
 
-    def _note(self, number: int, frame: Any) -> None:
-        self._kept.append((number, time.clock_gettime(time.CLOCK_BOOTTIME)))
+    def _record(self, number: int, frame: Any) -> None:
+        self._pending.append((number, time.clock_gettime(time.CLOCK_BOOTTIME)))
--- a/packages/burdockquay/src/burdockquay/_run_process.py
+++ b/packages/burdockquay/src/burdockquay/_run_process.py
@@ -1,4 +1,4 @@
-"""Runs one process of one role until a signal stops it."""
+"""Entry point that runs one process of a role until a signal stops it."""
 
 from __future__ import annotations
 
@@ -41,15 +41,16 @@
     role : str
         ``"entry"``, ``"slot"`` or ``"forwarder"``.
     source : SettingsSource, str or Path
-        The settings file, or a reading of it.
+        Path of the settings file, or a source that may have read it already.
     early : EarlyListener or None
         Socket that already listens for callers; for a forwarder only.
     signals : EarlySignals or None
-        Keeps the signals of a process that has been loading; None keeps them from now on.
+        Recorder of the signals that arrived while the process was loading; with None, recording
+        starts here.
     """
     if signals is None:
         signals = EarlySignals()
-        signals.keep()
+        signals.start_recording()
     if not isinstance(source, SettingsSource):
         source = SettingsSource(str(source))
     loaded = load_settings(source, role)
@@ -66,14 +67,14 @@
     try:
         return uvloop.run(_serve(process, role, settings, source.path, signals))
     finally:
-        # The last lines wait for others to be written with, and no loop comes back for them.
+        # Buffered log lines are normally written by the event loop, which has ended.
         flush_log()
-        # The interpreter would look through all objects for garbage before it ends.
+        # Exempts all objects from the garbage collection that the interpreter runs at exit.
         gc.freeze()
 
 
 def _set_up_logging(role: str, settings: Any) -> Callable[[], None]:
-    """Begin to log, and return what writes the lines that wait."""
+    """Configure logging and return a function that flushes buffered lines."""
     if role == "forwarder":
         handler = setup_json_logging(settings.log_level, sys.stdout.fileno(), vm=settings.vm)
         return handler.pipe.flush_once
@@ -83,17 +84,17 @@
 async def _serve(process: Any, role: str, settings: Any, path: str, signals: EarlySignals) -> int:
     """Run a process until a signal stops it.
 
-    The first SIGTERM or SIGINT begins a graceful shutdown; a second one ends it at once. SIGHUP
-    reads the settings again.
+    The first SIGTERM or SIGINT starts a graceful shutdown; a second one aborts it. SIGHUP reloads
+    the settings.
     """
-    stop_wanted: asyncio.Future[float] = asyncio.get_running_loop().create_future()
-    kill_wanted = asyncio.Event()
+    stop_requested: asyncio.Future[float] = asyncio.get_running_loop().create_future()
+    abort_requested = asyncio.Event()
 
     def on_signal(age_s: float) -> None:
-        if stop_wanted.done():
-            kill_wanted.set()
+        if stop_requested.done():
+            abort_requested.set()
         else:
-            stop_wanted.set_result(age_s)
+            stop_requested.set_result(age_s)
 
     try:
         await process.start()
@@ -102,27 +103,27 @@
         return EXIT_ADDRESS
     ports = {"vm": settings.vm, "port": process.port, "status_port": process.status_port}
     if role != "forwarder":
-        # A forwarder's standard output holds log lines alone; its event tells the port.
+        # The standard output of a forwarder holds log lines only; one of its events has the port.
         print(json.dumps(ports), flush=True)
     reload = partial(_reload_settings, role, process, path)
     handlers = {signal.SIGTERM: on_signal, signal.SIGINT: on_signal, signal.SIGHUP: reload}
-    signals.hand_over(asyncio.get_running_loop(), handlers)
-    stopping = asyncio.create_task(process.stop(await stop_wanted))
-    killing = asyncio.create_task(kill_wanted.wait())
-    await asyncio.wait((stopping, killing), return_when=asyncio.FIRST_COMPLETED)
+    signals.attach_loop(asyncio.get_running_loop(), handlers)
+    stopping = asyncio.create_task(process.stop(await stop_requested))
+    aborting = asyncio.create_task(abort_requested.wait())
+    await asyncio.wait((stopping, aborting), return_when=asyncio.FIRST_COMPLETED)
     if not stopping.done():
         stopping.cancel()
         await process.abort()
     else:
         stopping.result()
-    killing.cancel()
+    aborting.cancel()
     return EXIT_OK
 
 
 def _reload_settings(role: str, process: Any, path: str, age_s: float) -> None:
-    """Read the settings again, take over what a running process can, and tell what it cannot.
+    """Reload the settings, apply those a running process can change, and log if others changed.
 
-    Without a handler the signal would end the process, and every request with it.
+    Without a handler the signal would end the process and all its requests.
     """
     loaded = load_settings(path, role)
     if loaded.is_err():
@@ -135,7 +136,7 @@
 
 
 def _make_process(role: str, settings: Any, early: EarlyListener | None) -> Any:
-    # Each role is imported alone: a slot has little memory and needs nothing of the entry.
+    # Imports only the given role: a slot has little memory and needs no module of the entry.
     if role == "entry":
         from burdockquay_transport.entry import Entry
 
--- a/packages/burdockquay/src/burdockquay/_settings_command.py
+++ b/packages/burdockquay/src/burdockquay/_settings_command.py
@@ -13,19 +13,19 @@
 EXIT_OK = 0
 EXIT_FAULTS = 1
 
-settings_app = App(name="settings", help="Check settings files of the daemons.")
+settings_app = App(name="settings", help="Check settings files of the daemon.")
 
 
 @settings_app.command
 def check(role: Literal["entry", "slot", "forwarder"], file: Path) -> int:
-    """Check a settings file and print everything that is wrong with it.
+    """Check a settings file and print all its faults.
 
-    Exit status 0 says that a daemon would start with it, 1 that it would not.
+    Exit code 0 means that the daemon would accept the file, 1 that it would not.
 
     Parameters
     ----------
     role
-        The role whose settings the file holds.
+        Role of the process that the settings are for.
     file
         Path of the settings file.
     """
--- a/packages/burdockquay/src/burdockquay/_settings_file.py
+++ b/packages/burdockquay/src/burdockquay/_settings_file.py
@@ -1,4 +1,4 @@
-"""Settings files of the daemons: JSON with comments, checked as a whole."""
+"""Reader of settings files, which are JSON with comments; reports all faults of a file together."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from ._settings_source import MAX_FILE_BYTES, SettingsSource, blank_comments
 
 SECRET_KEYS = frozenset({"peer_key"})
-"""Keys whose value no message shows."""
+"""Keys whose values are never shown in messages."""
 
-RENAMED: Mapping[str, str] = MappingProxyType({})
-"""Old key path to new one; an old one is taken, with a warning, for one release."""
+RENAMED_KEYS: Mapping[str, str] = MappingProxyType({})
+"""Old key path to new key path; an old key is accepted with a warning for one release."""
 
 
 @attrs.frozen
 class SettingsFault:
-    """One thing wrong with a settings file.
+    """A fault in a settings file.
 
     Parameters
     ----------
     file : str
     line : int or None
-        From 1; None where it is not known, as for a key that is missing.
+        Counted from 1; None if it is unknown, for example for a missing key.
     key : str
         Path of the key, such as ``platform.table_url``; empty for the file as a whole.
     message : str
-        What was expected and what was got.
+        Expected and actual value.
     """
 
     file: str
@@ -45,20 +45,20 @@
     message: str
 
     def __str__(self) -> str:
-        place = self.file if self.line is None else f"{self.file}:{self.line}"
-        return ": ".join(part for part in (place, self.key, self.message) if part)
+        location = self.file if self.line is None else f"{self.file}:{self.line}"
+        return ": ".join(part for part in (location, self.key, self.message) if part)
 
 
 @attrs.frozen
 class LoadedSettings:
-    """Settings without fault.
+    """Valid settings.
 
     Parameters
     ----------
     settings : object
-        Of the settings class of the role.
+        Instance of the settings class of the role.
     renamed : tuple of SettingsFault
-        Old names in use, which the operator should change.
+        Deprecated key names in the file, which the operator should change.
     """
 
     settings: Any
@@ -66,18 +66,18 @@
 
 
 def load_settings(
-    source: SettingsSource | str | Path, role: str, renamed: Mapping[str, str] = RENAMED
+    source: SettingsSource | str | Path, role: str, renamed: Mapping[str, str] = RENAMED_KEYS
 ) -> Result[LoadedSettings, list[SettingsFault]]:
-    """Return the settings in a file, or everything that is wrong with it.
+    """Return the settings in a file, or all its faults.
 
     Parameters
     ----------
     source : SettingsSource, str or Path
-        The file, or a reading of it.
+        Path of the file, or a source that may have read it already.
     role : str
         ``"entry"``, ``"slot"`` or ``"forwarder"``.
     renamed : mapping of str to str
-        Old key path to new one.
+        Old key path to new key path.
 
     Returns
     -------
@@ -111,12 +111,12 @@
 
 
 class _DuplicateKeys(dict):
-    """An object in which a key stands twice; the parser alone would keep the last in silence."""
+    """JSON object with its duplicate keys, of which the parser would silently keep the last."""
 
     duplicates: tuple[str, ...] = ()
 
 
-def _collect(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _make_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     names = [name for name, _ in pairs]
     result = _DuplicateKeys(pairs)
     result.duplicates = tuple(sorted({name for name in names if names.count(name) > 1}))
@@ -124,14 +124,16 @@
 
 
 class _Reader:
-    """Reads one file and gathers its faults.
+    """Reader of one settings file, which collects the faults.
 
     Parameters
     ----------
     file : str
+        Path of the file, for messages.
     text : str
-        Without comments.
+        Content of the file with its comments blanked.
     renamed : mapping of str to str
+        Old key path to new key path.
     """
 
     def __init__(self, file: str, text: str, renamed: Mapping[str, str]):
@@ -145,11 +147,11 @@
         if not self.text.strip():
             return Err([SettingsFault(self.file, None, "", "expected an object, got nothing")])
         try:
-            values = jsonc.loads(self.text, object_pairs_hook=_collect)
+            values = jsonc.loads(self.text, object_pairs_hook=_make_object)
         except (ValueError, RecursionError) as error:
             line = getattr(error, "lineno", None)
-            words = getattr(error, "msg", str(error))
-            return Err([SettingsFault(self.file, line, "", f"expected JSON: {words}")])
+            reason = getattr(error, "msg", str(error))
+            return Err([SettingsFault(self.file, line, "", f"expected JSON: {reason}")])
         settings = self._build(cls, values, "")
         if settings is not None:
             self._check_combinations(settings, role)
@@ -158,13 +160,13 @@
         return Ok(LoadedSettings(settings, tuple(self._renames)))
 
     def _build(self, cls: type, values: Any, path: str) -> Any:
-        """Return an instance of ``cls``, or None if anything in ``values`` is wrong."""
+        """Return an instance of ``cls``, or None if ``values`` has any fault."""
         if not isinstance(values, dict):
-            self._fault(path, f"expected an object, got {values!r}")
+            self._add_fault(path, f"expected an object, got {values!r}")
             return None
-        before = len(self._faults)
+        fault_count = len(self._faults)
         for name in values.duplicates:
-            self._fault(_join(path, name), "expected once, got twice")
+            self._add_fault(_join(path, name), "expected once, got twice")
         values = self._rename(values, path)
         fields = {field.name: field for field in attrs.fields(cls)}
         self._check_names(values, fields, path)
@@ -174,7 +176,7 @@
             for name, value in values.items()
             if name in fields
         }
-        return cls(**accepted) if len(self._faults) == before else None
+        return cls(**accepted) if len(self._faults) == fault_count else None
 
     def _rename(self, values: dict[str, Any], path: str) -> dict[str, Any]:
         result = {}
@@ -183,10 +185,10 @@
             if new is None:
                 result[name] = value
                 continue
-            self._renames.append(self._at(_join(path, name), f"is now named {new!r}"))
+            self._renames.append(self._make_fault(_join(path, name), f"is now named {new!r}"))
             new_name = new.rpartition(".")[2]
             if new_name in values:
-                self._fault(_join(path, name), f"given beside its new name {new!r}")
+                self._add_fault(_join(path, name), f"given beside its new name {new!r}")
             result[new_name] = value
         return result
 
@@ -195,31 +197,31 @@
     ) -> None:
         for name in values:
             if name not in fields:
-                self._fault(_join(path, name), describe_unknown("key", name, fields))
+                self._add_fault(_join(path, name), describe_unknown("key", name, fields))
         for name, field in fields.items():
             if name not in values and field.default is attrs.NOTHING:
-                self._fault(_join(path, name), "expected a value, the key is missing")
+                self._add_fault(_join(path, name), "expected a value, the key is missing")
 
     def _read_value(self, cls: type, name: str, kind: Any, value: Any, path: str) -> Any:
         if attrs.has(kind):
             return self._build(kind, value, _join(path, name))
         constraints = {name: cls._constraints[name]}
         for fault in find_faults(constraints, SimpleNamespace(**{name: value})):
-            self._fault(_join(path, name), _hide(name, fault.removeprefix(f"{name}: ")))
+            self._add_fault(_join(path, name), _redact(name, fault.removeprefix(f"{name}: ")))
         return value
 
     def _check_combinations(self, settings: Any, role: str) -> None:
         for key, message in find_combination_faults(settings, role):
-            self._fault(key, message)
+            self._add_fault(key, message)
 
-    def _fault(self, key: str, message: str) -> None:
-        self._faults.append(self._at(key, message))
+    def _add_fault(self, key: str, message: str) -> None:
+        self._faults.append(self._make_fault(key, message))
 
-    def _at(self, key: str, message: str) -> SettingsFault:
+    def _make_fault(self, key: str, message: str) -> SettingsFault:
         return SettingsFault(self.file, self._find_line(key), key, message)
 
     def _find_line(self, key: str) -> int | None:
-        """Return the line of a key, None unless its last name stands on one line only."""
+        """Return the line of a key, or None unless its last part occurs on exactly one line."""
         name = re.escape(key.rpartition(".")[2])
         found = list(re.finditer(rf'"{name}"\s*:', self.text))
         lines = {self.text.count("\n", 0, match.start()) + 1 for match in found}
@@ -230,7 +232,7 @@
     return f"{path}.{name}" if path else name
 
 
-def _hide(name: str, fault: str) -> str:
+def _redact(name: str, fault: str) -> str:
     if name not in SECRET_KEYS:
         return fault
     return fault.partition(", got ")[0] + ", got a value that is not shown"
--- a/packages/burdockquay/src/burdockquay/_settings_roles.py
+++ b/packages/burdockquay/src/burdockquay/_settings_roles.py
@@ -1,7 +1,7 @@
-"""The settings class of each role, and what must fit together in it.
+"""Settings class of each role, and the checks across several of its settings.
 
-Each role's part is imported when it is asked for: a forwarder that restarts would otherwise spend
-35 of some 430 ms on the settings of the other roles.
+The modules of a role are imported on first use: a restarting forwarder would otherwise spend 35 of
+about 430 ms on the settings of the other roles.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 """Key path and message."""
 
 role_settings: Registry[Callable[[], type]] = Registry("role")
-"""Role to a function that returns its settings class."""
+"""Maps a role to a function that returns its settings class."""
 
 
 @role_settings.register("entry")
@@ -44,13 +44,13 @@
 
 
 def find_combination_faults(settings: Any, role: str) -> Iterator[Fault]:
-    """Yield what is wrong with settings whose single values are all accepted."""
-    for check in _COMBINATIONS[role]:
+    """Yield the faults between settings that are each valid on their own."""
+    for check in _COMBINATION_CHECKS[role]:
         yield from check(settings)
 
 
 def _find_adapter_faults(settings: EntrySettings | SlotSettings) -> Iterator[Fault]:
-    # Importing it registers the adapters of the package.
+    # The import registers the adapters of the package.
     import burdockquay_transport._platform_http  # noqa: F401
     from burdockquay_state import object_stores, table_services, vm_lists
 
@@ -94,7 +94,7 @@
         yield "platform.adapter", message
 
 
-_COMBINATIONS: dict[str, list[Callable[[Any], Iterator[Fault]]]] = {
+_COMBINATION_CHECKS: dict[str, list[Callable[[Any], Iterator[Fault]]]] = {
     "entry": [_find_adapter_faults, _find_deadline_faults],
     "slot": [_find_adapter_faults, _find_flush_faults],
     "forwarder": [_find_forwarding_faults],
--- a/packages/burdockquay/src/burdockquay/_settings_source.py
+++ b/packages/burdockquay/src/burdockquay/_settings_source.py
@@ -1,6 +1,7 @@
-"""The bytes of a settings file, before they are understood.
+"""Unparsed content of a settings file.
 
-Loaded before everything else by a process that has to listen soon; imports little.
+This module is imported before all others by a process that has to listen early, and therefore has
+few imports itself.
 """
 
 from __future__ import annotations
@@ -10,13 +11,13 @@
 from typing import Any
 
 MAX_FILE_BYTES = 1 << 20
-"""Largest settings file that is read, bytes."""
+"""Maximum size of a settings file, bytes."""
 
 _STRING_OR_COMMENT = re.compile(r'"(?:\\.|[^"\\\n])*"|//[^\n]*|/\*.*?\*/', re.DOTALL)
 
 
 class SettingsSource:
-    """One reading of a settings file, which may be a pipe that can be read only once.
+    """Settings file that is read at most once, since it may be a pipe.
 
     Parameters
     ----------
@@ -28,7 +29,7 @@
         self._content: bytes | None = None
 
     def read(self) -> bytes:
-        """Return the content, one byte more than allowed where it is too long.
+        """Return the content, cut to one byte more than the maximum if the file is too large.
 
         Raises
         ------
@@ -41,9 +42,9 @@
         return self._content
 
     def peek(self, key: str) -> Any:
-        """Return one value of the outermost object, None if there is none or the file is faulty.
+        """Return the value of a top-level key, or None if it is missing or the file is invalid.
 
-        The faults of a file are found and told later, when what checks it has been loaded.
+        Faults of the file are reported later, once the modules that check it have been imported.
         """
         try:
             values = json.loads(blank_comments(self.read().decode("utf-8-sig")))
@@ -53,7 +54,7 @@
 
 
 def blank_comments(text: str) -> str:
-    """Replace comments by spaces, so that line numbers in messages are those of the file."""
+    """Replace comments by spaces, so that line numbers in messages match the file."""
 
     def blank(match: re.Match) -> str:
         found = match.group()
--- a/packages/burdockquay/src/burdockquay/daemon.py
+++ b/packages/burdockquay/src/burdockquay/daemon.py
@@ -16,10 +16,10 @@
 
 
 def open_early(source: SettingsSource) -> EarlyListener | None:
-    """Return a socket that listens for callers, None if the settings do not tell where.
+    """Return a socket that listens for callers, or None if the settings hold no usable address.
 
-    What is wrong with the address is told when the whole settings are checked, or when the process
-    listens itself.
+    A faulty address is reported later, when all settings are checked or when the process itself
+    starts to listen.
     """
     address = source.peek("listen")
     if not isinstance(address, str):
@@ -31,20 +31,21 @@
 
 
 def main() -> None:
-    """Run the daemon's command line.
+    """Run the command line of the daemon.
 
     Notes
     -----
-    A forwarder listens before it loads what serves, see :class:`EarlyListener`, and loads it from a
-    bundle where its installation has one, see :class:`BundleFinder`.
+    A forwarder listens before it imports the modules that serve requests, see
+    :class:`EarlyListener`, and loads them from a bundle if its installation has one, see
+    :class:`BundleFinder`.
 
-    The library for command lines takes several megabytes, which a process would keep for its life.
-    It is only loaded if it has something to do: help, version, or a mistake to explain.
+    The command line library takes several megabytes, which a process would occupy until it ends. It
+    is imported only if needed: for help, for the version, or to report invalid arguments.
     """
     match sys.argv[1:]:
         case ["entry" | "slot" | "forwarder" as role, "--settings", path]:
             signals = EarlySignals()
-            signals.keep()
+            signals.start_recording()
             source = SettingsSource(path)
             early = open_early(source) if role == "forwarder" else None
             use_bundle()
--- a/packages/burdockquay/src/burdockquay/tests/test_bundle.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_bundle.py
@@ -1,4 +1,4 @@
-"""The bundle of modules that a process loads from at its start."""
+"""Tests of the bundle from which a process loads its modules at startup."""
 
 import json
 import subprocess
@@ -43,19 +43,19 @@
     return json.loads(done.stdout)
 
 
-def test_modules_come_from_the_bundle_and_are_the_same(bundle, tmp_path):
+def test_modules_are_loaded_from_the_bundle_and_are_equal(bundle, tmp_path):
     bundled = run_script(bundle)
     ordinary = run_script(tmp_path / "none")
-    assert bundled["bundled"] == [True, True, False, False], "only what was written into it"
+    assert bundled["bundled"] == [True, True, False, False], "only the modules that were written"
     assert not any(ordinary["bundled"])
     assert bundled["files"] == ordinary["files"]
-    assert bundled["built"] == ordinary["built"], "compiled parts of a package are still found"
+    assert bundled["built"] == ordinary["built"], "extension modules of a package are still found"
 
 
-def test_bundle_of_another_interpreter_is_left_alone(bundle, monkeypatch):
-    """The interpreter is replaced and the installation is not built anew.
+def test_bundle_of_another_interpreter_is_ignored(bundle, monkeypatch):
+    """Guards against loading a bundle after the interpreter was replaced without a rebuild.
 
-    Its code would be misread, and the process would end with a fault that nobody understands.
+    The code would be decoded wrongly, and the process would end with an obscure error.
     """
     monkeypatch.setattr(sys, "version", "another")
     use_bundle(str(bundle))
--- a/packages/burdockquay/src/burdockquay/tests/test_daemon.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The command line of the daemon and what it loads."""
+"""Tests of the daemon's command line and of the modules that it loads."""
 
 import subprocess
 import sys
@@ -11,8 +11,8 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "slot"])
-def test_a_role_loads_nothing_that_it_does_not_need(role):
-    """Every library that is loaded stays in the memory of thousands of small VMs."""
+def test_role_loads_no_unneeded_modules(role):
+    """Guards the memory use of thousands of small VMs, where each loaded library stays loaded."""
     other = {"entry": "slot", "slot": "entry"}[role]
     script = (
         "import sys, burdockquay.daemon\n"
@@ -38,7 +38,7 @@
         (["entry", "--help"], 0, "Settings file"),
     ],
 )
-def test_arguments_are_explained_and_tell_by_the_exit_status(arguments, code, said):
+def test_arguments_lead_to_the_expected_message_and_exit_code(arguments, code, said):
     done = run_python("-c", "from burdockquay.daemon import main; main()", *arguments)
     assert said in " ".join((done.stdout + done.stderr).split())
     assert done.returncode == code
--- a/packages/burdockquay/src/burdockquay/tests/test_settings_file.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Settings files: the examples, and what is said of faulty ones."""
+"""Tests of settings files: the examples, and the messages about invalid files."""
 
 import json
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 EXAMPLES = Path(__file__).parents[5] / "examples"
 URL = "http://127.0.0.1:1"
-SOUND = {
+VALID = {
     "vm": "e1",
     "failure_domain": "medeu",
     "peer_key": "0" * 32,
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize(
     ("name", "role"), [("entry", "entry"), ("slot-engine", "slot"), ("slot-service", "slot")]
 )
-def test_examples_are_sound(name, role):
+def test_examples_are_valid(name, role):
     loaded = load_settings(EXAMPLES / f"{name}.jsonc", role)
     assert loaded.is_ok(), "\n".join(map(str, loaded.err()))
     assert isinstance(loaded.ok().settings, {"entry": EntrySettings, "slot": SlotSettings}[role])
@@ -53,9 +53,9 @@
     assert [f.name for f in attrs.fields(EntrySettings) if f'"{f.name}":' not in text] == []
 
 
-def test_every_fault_is_named_at_once(load):
-    """An operator has several typing errors in one file and would otherwise find them one start
-    of the daemon after the other."""
+def test_all_faults_of_a_file_are_reported_at_once(load):
+    """An operator with several typing errors in a file would otherwise need one start of the daemon
+    to find each of them."""
     faults = load("""{
   // where we are
   "vm": "E 1", /* two
@@ -92,11 +92,11 @@
         (" " * (MAX_FILE_BYTES + 1), f": expected at most {MAX_FILE_BYTES} bytes, got more"),
     ],
 )
-def test_a_file_that_is_no_object_is_refused(load, text, fault):
+def test_file_that_is_no_object_is_rejected(load, text, fault):
     assert load(text) == [fault]
 
 
-def test_a_missing_file_is_refused(tmp_path):
+def test_missing_file_is_rejected(tmp_path):
     (fault,) = load_settings(tmp_path / "none", "entry").err()
     assert str(fault) == f"{tmp_path}/none: cannot be read: No such file or directory"
 
@@ -105,29 +105,29 @@
     ("change", "fault"),
     [
         ({"default_deadline_s": 700}, ":10: default_deadline_s: expected at most"),
-        ({"platform": {**SOUND["platform"], "table": "htpp"}}, ":9: platform.table: unknown table"),
+        ({"platform": {**VALID["platform"], "table": "htpp"}}, ":9: platform.table: unknown table"),
         ({"platform": 3}, ":5: platform: expected an object, got 3"),
         ({"metrics": {"sink": "statsd", "port": True}}, ":12: metrics.port: expected an integer"),
         ({"seed_slots": ["10.0.0.1"]}, ":10: seed_slots: expected a list, each item IP address"),
     ],
 )
-def test_values_that_do_not_fit_are_refused(load, change, fault):
-    (got,) = load({**SOUND, **change})
+def test_invalid_values_are_rejected(load, change, fault):
+    (got,) = load({**VALID, **change})
     assert got.startswith(fault)
 
 
-def test_a_key_given_twice_is_refused(load):
-    """The parser would keep the second value and the operator read the first."""
-    text = json.dumps(SOUND)[:-1] + ', "vm": "e2"}'
+def test_duplicate_key_is_rejected(load):
+    """Guards against a silently ignored value: the parser alone would keep only the second one."""
+    text = json.dumps(VALID)[:-1] + ', "vm": "e2"}'
     assert load(text) == [":1: vm: expected once, got twice"]
 
 
-def test_a_renamed_key_is_taken_with_a_warning(load):
+def test_renamed_key_is_accepted_with_a_warning(load):
     renamed = {"drain_s": "stop_limit_s"}
-    loaded = load({**SOUND, "drain_s": 5}, renamed=renamed)
+    loaded = load({**VALID, "drain_s": 5}, renamed=renamed)
     assert loaded.settings.stop_limit_s == 5
     assert [fault.message for fault in loaded.renamed] == ["is now named 'stop_limit_s'"]
-    (fault,) = load({**SOUND, "drain_s": 5, "stop_limit_s": 6}, renamed=renamed)
+    (fault,) = load({**VALID, "drain_s": 5, "stop_limit_s": 6}, renamed=renamed)
     assert "given beside its new name" in fault
 
 
@@ -143,9 +143,9 @@
         st.sampled_from([field.name for field in attrs.fields(SlotSettings)]), values, min_size=1
     )
 )
-def test_settings_are_either_sound_or_refused(tmp_path_factory, changes):
+def test_settings_are_either_valid_or_rejected(tmp_path_factory, changes):
     path = tmp_path_factory.mktemp("settings") / "s.jsonc"
-    path.write_text(json.dumps({**SOUND, "group": "g", "upstream_url": URL, **changes}))
+    path.write_text(json.dumps({**VALID, "group": "g", "upstream_url": URL, **changes}))
     result = load_settings(path, "slot")
     if result.is_ok():
         settings = result.ok().settings
@@ -159,7 +159,7 @@
         assert blamed <= {*changes, "flush_interval_s"}
 
 
-def test_check_command_prints_faults_and_tells_by_its_exit_status(tmp_path, capsys):
+def test_check_command_prints_faults_and_returns_an_exit_code(tmp_path, capsys):
     app = App(name="burdockquay")
     app.command(settings_app)
 
