--- a/packages/burdockquay/src/burdockquay/__init__.py
+++ b/packages/burdockquay/src/burdockquay/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon ``burdockquayd`` and the operators command ``burdockquay``."""
+"""The daemon ``burdockquayd`` and the operators' command ``burdockquay``."""
--- a/packages/burdockquay/src/burdockquay/_output.py
+++ b/packages/burdockquay/src/burdockquay/_output.py
@@ -1,4 +1,4 @@
-"""What the operators' command prints, and its exit codes."""
+"""Output functions and exit codes of the operators' command."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
     """Exit codes of ``burdockquay``."""
 
     DONE = 0
-    """All went well."""
+    """Success."""
     FAULTS = 1
-    """The input is faulty, or a check failed; nothing was written."""
+    """The input is invalid, or a check failed; nothing was written."""
     ARGUMENTS = 2
-    """The arguments are faulty; nothing was written."""
+    """The arguments are invalid; nothing was written."""
     CHANGED = 3
-    """Somebody else changed the record first; nothing was written."""
+    """The record was changed by someone else in the meantime; nothing was written."""
     UNAVAILABLE = 4
     """The platform does not answer; nothing was written."""
     UNKNOWN = 5
-    """The change may have been accepted or not."""
+    """The change may or may not have been accepted."""
     INCOMPLETE = 6
-    """Some process did not answer; what is shown lacks its part."""
+    """The platform or a process did not answer; its part is missing from the output."""
     NOT_FOUND = 7
-    """There is no such record, or no log line of the request."""
+    """There is no such record, or no log line about the request."""
 
 
 def print_table(header: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Print rows under a header, in columns."""
+    """Print a header and rows in aligned columns."""
     cells = [[str(cell) for cell in row] for row in (header, *rows)]
     widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
     for row in cells:
@@ -46,12 +46,12 @@
 
 
 def print_error(text: object) -> None:
-    """Print a line to the standard error."""
+    """Print a line to standard error."""
     print(text, file=sys.stderr)
 
 
 def format_time(seconds: float) -> str:
-    """Return seconds since the epoch as UTC text.
+    """Format seconds since the epoch as a UTC time.
 
     Examples
     --------
--- a/packages/burdockquay/src/burdockquay/_platform_options.py
+++ b/packages/burdockquay/src/burdockquay/_platform_options.py
@@ -1,4 +1,4 @@
-"""Command line options that say where the platform is."""
+"""Command line options for the connection to the platform."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 @Parameter(name="*")
 @attrs.frozen
 class PlatformOptions:
-    """Where the platform is.
+    """Addresses and adapters of the platform.
 
     Parameters
     ----------
     table_url : str
-        Table service.
+        URL of the table service.
     vms_url : str
-        VM list; as the table service if not given.
+        URL of the VM list; defaults to that of the table service.
     table : str
         Name of the adapter of the table service.
     vms : str
         Name of the adapter of the VM list.
     timeout_s : float
-        Limit on one call, seconds.
+        Timeout of one call, seconds.
     """
 
     table_url: Annotated[str, Parameter(env_var="BURDOCKQUAY_TABLE_URL")] = _DEFAULT_URL
@@ -45,7 +45,7 @@
 
 @asynccontextmanager
 async def connect_platform(options: PlatformOptions) -> AsyncIterator[Platform]:
-    """Open the platform's services and close them at the end."""
+    """Open the services of the platform, and close them on exit."""
     platform = open_platform(
         PlatformSettings(
             table_url=options.table_url,
--- a/packages/burdockquay/src/burdockquay/_record_command.py
+++ b/packages/burdockquay/src/burdockquay/_record_command.py
@@ -1,4 +1,4 @@
-"""The sub-command ``burdockquay record``: what operators say to the system."""
+"""The sub-command ``burdockquay record``, with which operators read and change records."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     write_documents,
 )
 
-record_app = App(name="record", help="Read and change the records that rule the system.")
+record_app = App(name="record", help="Read and change the records that configure the system.")
 
 _REFUSAL_CODES = {
     RefusalKind.INVALID: ExitCode.FAULTS,
@@ -53,12 +53,12 @@
 
 @record_app.command
 def check(file: Path = Path("-")) -> int:
-    """Check records by themselves, without the table; ``put --dry-run`` checks all together.
+    """Check records without access to the table; ``put --dry-run`` checks against the table too.
 
     Parameters
     ----------
     file
-        JSON with comments; ``-`` reads the standard input.
+        JSON with comments; ``-`` reads from standard input.
     """
     read = _read_changes(file, None)
     if isinstance(read, Err):
@@ -77,21 +77,21 @@
     as_json: Json = False,
     platform: PlatformOptions = DEFAULT_PLATFORM,
 ) -> int:
-    """Accept the records in a file, all or none.
+    """Write the records of a file to the table, all or none.
 
     Parameters
     ----------
     file
         JSON with comments: an object or a list of objects with kind, name, schema, revision and
-        body; ``-`` reads the standard input. All schema versions of a record go together; one that
-        is left out is no longer in the table.
+        body; ``-`` reads from standard input. All schema versions of a record must be given
+        together; a version that is left out is removed from the table.
     expected_revision
-        Revision of the record that you read, if the file holds one record and does not say;
-        without either, the record must not exist yet.
+        Revision of the record that you read, for a file with one record that does not state it.
+        If neither gives a revision, the record must not exist yet.
     author
-        Name in the log; default the user's name.
+        Author name in the log; defaults to the name of the user.
     dry_run
-        Check everything against the table, write nothing.
+        Check everything against the table, but write nothing.
     as_json
         Print JSON.
     """
@@ -121,9 +121,9 @@
     expected_revision
         Revision of the record that you read.
     author
-        Name in the log; default the user's name.
+        Author name in the log; defaults to the name of the user.
     dry_run
-        Check everything against the table, write nothing.
+        Check everything against the table, but write nothing.
     as_json
         Print JSON.
     """
@@ -133,7 +133,7 @@
 
 @record_app.command
 def get(kind: str, name: str, *, platform: PlatformOptions = DEFAULT_PLATFORM) -> int:
-    """Print a record as JSON that ``put`` takes back, with the revision it stands at."""
+    """Print a record with its current revision, as JSON that ``put`` accepts."""
 
     def show(row: LogRow | None) -> int:
         if row is None or row.withdrawn:
@@ -169,7 +169,7 @@
     as_json: Json = False,
     platform: PlatformOptions = DEFAULT_PLATFORM,
 ) -> int:
-    """List the changes of a record, the latest first."""
+    """List the changes of a record, latest first."""
 
     def show(rows: Sequence[LogRow]) -> int:
         if not rows:
@@ -192,14 +192,14 @@
     as_json: Json = False,
     platform: PlatformOptions = DEFAULT_PLATFORM,
 ) -> int:
-    """Print what a change of a record altered.
+    """Print the differences that a change made to a record.
 
     Parameters
     ----------
     kind, name
         The record.
     revision
-        Revision of the change; default the last one.
+        Revision of the change; defaults to the latest one.
     as_json
         Print JSON.
     """
@@ -259,18 +259,19 @@
     try:
         return getpass.getuser()
     except (KeyError, OSError):
-        # A container may run under a user without a name; the writer then asks for an author.
+        # A container may run under a user without a name; the empty author is then reported as a
+        # fault.
         return ""
 
 
 def _read(
     options: PlatformOptions,
-    ask: Callable[[RecordLog], Awaitable[Result[Any, TableError]]],
+    query_log: Callable[[RecordLog], Awaitable[Result[Any, TableError]]],
     show: Callable[[Any], int],
 ) -> int:
     async def run() -> Result[Any, TableError]:
         async with connect_platform(options) as platform:
-            return await ask(RecordLog(platform.table))
+            return await query_log(RecordLog(platform.table))
 
     result = asyncio.run(run())
     if isinstance(result, Err):
@@ -288,8 +289,10 @@
     if accepted.dry_run:
         print("dry run: would be accepted; nothing was written")
         return
-    late = " (the confirmation was lost; found by reading back)" if accepted.confirmed_late else ""
-    print(f"accepted at revision {accepted.revision}{late}")
+    confirmation_note = (
+        " (the confirmation was lost; found by reading back)" if accepted.confirmed_late else ""
+    )
+    print(f"accepted at revision {accepted.revision}{confirmation_note}")
 
 
 def _print_refusal(refusal: PutRefusal, as_json: bool) -> int:
--- a/packages/burdockquay/src/burdockquay/_record_documents.py
+++ b/packages/burdockquay/src/burdockquay/_record_documents.py
@@ -1,4 +1,4 @@
-"""Records as operators write them: JSON with comments, one document or a list of them."""
+"""Documents in which operators write records: JSON with comments, one document or a list."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 MAX_INPUT_BYTES = 1 << 22
-"""Largest input, bytes."""
+"""Maximum size of the input, bytes."""
 
 _KEYS = ("kind", "name", "schema", "revision", "body")
 
@@ -38,7 +38,7 @@
     record : record
         Instance of the registered class.
     revision : int
-        Revision of the record that the author read, 0 for none.
+        Revision of the record that the author read; 0 for a new record.
     """
 
     record: Any
@@ -46,7 +46,7 @@
 
 
 def read_documents(text: str) -> Result[list[Document], list[RecordFault]]:
-    """Return the documents in the input, or everything that is wrong with them.
+    """Return the documents in the input, or all their faults.
 
     Examples
     --------
@@ -75,31 +75,33 @@
 
 
 def _read_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    # Of two equal keys the parser would keep the last and drop the other without a word.
+    # The parser would silently keep only the last of several equal keys.
     keys = [key for key, _ in pairs]
-    double = sorted({key for key in keys if keys.count(key) > 1})
-    if double:
-        raise ValueError(f"expected each key once, got {', '.join(map(repr, double))} again")
+    duplicate_keys = sorted({key for key in keys if keys.count(key) > 1})
+    if duplicate_keys:
+        raise ValueError(
+            f"expected each key once, got {', '.join(map(repr, duplicate_keys))} again"
+        )
     return dict(pairs)
 
 
-def _read_document(place: str, item: Any) -> Result[Document, list[RecordFault]]:
+def _read_document(location: str, item: Any) -> Result[Document, list[RecordFault]]:
     if not isinstance(item, dict):
-        return Err([RecordFault(place, "", "an object with " + ", ".join(_KEYS), repr(item))])
+        return Err([RecordFault(location, "", "an object with " + ", ".join(_KEYS), repr(item))])
     kind, name, schema = item.get("kind"), item.get("name"), item.get("schema")
     if isinstance(name, str) and isinstance(kind, str):
-        place = record_path(kind, name)
+        location = record_path(kind, name)
     faults = [
-        RecordFault(place, str(key), describe_unknown("key", str(key), _KEYS), "this key")
+        RecordFault(location, str(key), describe_unknown("key", str(key), _KEYS), "this key")
         for key in item
         if key not in _KEYS
     ]
     revision, body = item.get("revision", 0), item.get("body", {})
     if type(revision) is not int or revision < 0:
-        faults.append(RecordFault(place, "revision", "an integer of at least 0", repr(revision)))
-    faults += _find_kind_faults(place, kind, schema)
+        faults.append(RecordFault(location, "revision", "an integer of at least 0", repr(revision)))
+    faults += _find_kind_faults(location, kind, schema)
     if not isinstance(body, dict):
-        faults.append(RecordFault(place, "body", "an object", repr(body)))
+        faults.append(RecordFault(location, "body", "an object", repr(body)))
     if faults:
         return Err(faults)
     fields = {**body} if name is None else {"name": name, **body}
@@ -107,23 +109,23 @@
     return structured.map(lambda record: Document(record, revision))
 
 
-def _find_kind_faults(place: str, kind: Any, schema: Any) -> list[RecordFault]:
+def _find_kind_faults(location: str, kind: Any, schema: Any) -> list[RecordFault]:
     kinds = sorted({known for known, _ in known_schemas()})
     if kind not in kinds:
         hint = describe_unknown("kind", str(kind), kinds).partition("; ")[2].partition(" (known")[0]
         expected = f"a known kind; {hint}" if hint else "one of " + ", ".join(kinds)
-        return [RecordFault(place, "kind", expected, repr(kind))]
+        return [RecordFault(location, "kind", expected, repr(kind))]
     schemas = sorted(known for of, known in known_schemas() if of == kind)
     if type(schema) is not int or schema not in schemas:
         expected = " or ".join(str(known) for known in schemas)
-        return [RecordFault(place, "schema", expected, repr(schema))]
+        return [RecordFault(location, "schema", expected, repr(schema))]
     return []
 
 
 def group_documents(
     documents: Sequence[Document],
 ) -> Result[list[RecordChange], list[RecordFault]]:
-    """Return one change for each record, its schema versions put together."""
+    """Return one change for each record, which combines its schema versions."""
     groups: dict[tuple[str, str], list[Document]] = {}
     for document in documents:
         groups.setdefault((document.record.kind, document.record.name), []).append(document)
@@ -140,7 +142,7 @@
 
 
 def show_documents(rows: Iterable[LogRow]) -> list[dict[str, Any]]:
-    """Return stored records as documents that can be put again."""
+    """Return stored records as documents that ``put`` accepts."""
     return [
         {
             "kind": row.entry.kind,
@@ -155,7 +157,7 @@
 
 
 def write_documents(rows: Sequence[LogRow]) -> str:
-    """Return the input that would put the records again, with who wrote them as comments."""
+    """Return text that ``put`` accepts for the records, with comments naming their authors."""
     comments = [
         f"// {row.entry.kind}/{row.entry.name}: revision {row.entry.revision} "
         f"by {json.dumps(row.entry.author)}"
--- a/packages/burdockquay/src/burdockquay/_status_command.py
+++ b/packages/burdockquay/src/burdockquay/_status_command.py
@@ -1,4 +1,4 @@
-"""The sub-commands ``burdockquay status`` and ``burdockquay usage``; they only read."""
+"""The sub-commands ``burdockquay status`` and ``burdockquay usage``, which are read-only."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from ._record_command import Json
 from ._usage import UsageTotals
 
-_AT_ONCE = 50
-_PAGE_LIMIT_BYTES = 1 << 22
+_MAX_CONCURRENT_REQUESTS = 50
+_MAX_PAGE_BYTES = 1 << 22
 
 
 @attrs.frozen
 class ProcessAnswer:
-    """What a process says of itself.
+    """Answer of a process to a request for its status or usage.
 
     Parameters
     ----------
     entry : VmEntry
-        Its line in the VM list.
+        Entry of the process in the VM list.
     page : dict or None
-        What it answered; None if it did not.
+        JSON object that it answered with; None if there is no valid answer.
     problem : str
-        Why there is no answer, or why it is not to be trusted.
+        Why there is no valid answer; empty if there is one.
     """
 
     entry: VmEntry
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class Survey:
-    """What the platform and the processes answered.
+    """Answers of the platform and of the processes.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
         Revision of the record log.
     vms : Result of list of VmEntry, TableError
     answers : list of ProcessAnswer
-        One for each VM of the list.
+        One for each process of the requested roles in the VM list.
     """
 
     head: Result[int, TableError]
@@ -60,12 +60,12 @@
 
     @property
     def complete(self) -> bool:
-        """Whether everybody answered."""
+        """Whether the platform and all processes answered."""
         answered = all(not answer.problem for answer in self.answers)
         return answered and isinstance(self.head, Ok) and isinstance(self.vms, Ok)
 
     def problems(self) -> list[str]:
-        """Return a line for each part that is missing."""
+        """Return one line for each missing answer."""
         lines = []
         for what, result in (("table service", self.head), ("VM list", self.vms)):
             if isinstance(result, Err):
@@ -76,23 +76,24 @@
 
 
 def status(*, as_json: Json = False, platform: PlatformOptions = DEFAULT_PLATFORM) -> int:
-    """Show the revision in force by process, members, quarantine and the health of the table.
+    """Show for each process the revision in force, its members and the health of the table.
 
-    Reads the table, the VM list and the read-only HTTP of the processes. Exit status 6 says that
-    somebody did not answer.
+    Also lists the suspicions in quarantine. Reads the table, the VM list and the read-only HTTP
+    endpoints of the processes. Exit code 6 means that the platform or a process did not answer.
     """
     survey = asyncio.run(_survey(platform, "/status", ("entry", "slot")))
     if as_json:
         print_json(_describe(survey))
     else:
         _print_status(survey)
-    return _end(survey)
+    return _report_problems(survey)
 
 
 def usage(*, as_json: Json = False, platform: PlatformOptions = DEFAULT_PLATFORM) -> int:
-    """Show tokens, wasted tokens and refusals by organisation, summed over all entries.
+    """Show generated tokens, wasted tokens and refusals by organisation, summed over all entries.
 
-    The counts begin with the start of each entry. Exit status 6 says that an entry did not answer.
+    The counts start at zero when an entry starts. Exit code 6 means that the platform or an entry
+    did not answer.
     """
     survey = asyncio.run(_survey(platform, "/usage", ("entry",)))
     totals = UsageTotals()
@@ -103,28 +104,28 @@
         print_json({**totals.describe(), "problems": survey.problems()})
     else:
         totals.print()
-    return _end(survey)
+    return _report_problems(survey)
 
 
 async def _survey(options: PlatformOptions, path: str, roles: Iterable[str]) -> Survey:
     async with connect_platform(options) as platform:
         head, vms = await asyncio.gather(RecordLog(platform.table).head(), platform.vms.list())
     listed = [entry for entry in vms.ok() or () if entry.role in roles]
-    gate = asyncio.Semaphore(_AT_ONCE)
+    semaphore = asyncio.Semaphore(_MAX_CONCURRENT_REQUESTS)
     timeout = aiohttp.ClientTimeout(total=options.timeout_s)
     async with aiohttp.ClientSession(timeout=timeout) as session:
-        answers = await asyncio.gather(*(_ask(session, gate, entry, path) for entry in listed))
+        answers = await asyncio.gather(*(_ask(session, semaphore, entry, path) for entry in listed))
     return Survey(head, vms, list(answers))
 
 
 async def _ask(
-    session: aiohttp.ClientSession, gate: asyncio.Semaphore, entry: VmEntry, path: str
+    session: aiohttp.ClientSession, semaphore: asyncio.Semaphore, entry: VmEntry, path: str
 ) -> ProcessAnswer:
     host = f"[{entry.host}]" if ":" in entry.host else entry.host
     url = f"http://{host}:{entry.status_port}{path}"
     try:
-        async with gate, session.get(url) as response:
-            content = await response.content.read(_PAGE_LIMIT_BYTES)
+        async with semaphore, session.get(url) as response:
+            content = await response.content.read(_MAX_PAGE_BYTES)
             if response.status != 200:
                 return ProcessAnswer(entry, None, f"{url} answered {response.status}")
             page = json.loads(content)
@@ -134,10 +135,10 @@
         return ProcessAnswer(entry, None, f"{url} cannot be read: {error}")
     if not isinstance(page, dict):
         return ProcessAnswer(entry, None, f"{url}: expected an object, got {page!r:.80}")
-    # The list lags: another VM may have got the address.
-    other = page.get("vm", entry.vm)
-    if other != entry.vm:
-        return ProcessAnswer(entry, None, f"{url} is answered by {other}")
+    # The VM list may be out of date: another VM may have been given the address since.
+    answered_by = page.get("vm", entry.vm)
+    if answered_by != entry.vm:
+        return ProcessAnswer(entry, None, f"{url} is answered by {answered_by}")
     return ProcessAnswer(entry, page)
 
 
@@ -165,18 +166,18 @@
 
 def _status_row(answer: ProcessAnswer, head: int | None) -> tuple[Any, ...]:
     entry, page = answer.entry, answer.page
-    start = (entry.vm, entry.role, entry.failure_domain, entry.state.value)
+    listed_columns = (entry.vm, entry.role, entry.failure_domain, entry.state.value)
     if page is None:
-        return (*start, "?", "no answer", "?", "?")
+        return (*listed_columns, "?", "no answer", "?", "?")
     revision = page.get("revision", "?")
     behind = " (behind)" if head is not None and revision != "?" and revision < head else ""
     members = page.get("members", [])
     connected = sum(1 for member in members if member.get("connected"))
     leaving = sum(1 for member in members if member.get("leaving"))
-    shown = f"{connected}/{len(members)}" + (f", {leaving} leaving" if leaving else "")
+    members_text = f"{connected}/{len(members)}" + (f", {leaving} leaving" if leaving else "")
     state = "leaving" if page.get("leaving") else "running"
     table = "healthy" if page.get("table", {}).get("healthy") else "unavailable"
-    return (*start, f"{revision}{behind}", state, shown, table)
+    return (*listed_columns, f"{revision}{behind}", state, members_text, table)
 
 
 def _quarantine(survey: Survey) -> dict[str, int]:
@@ -188,7 +189,7 @@
     return found
 
 
-def _end(survey: Survey) -> int:
+def _report_problems(survey: Survey) -> int:
     for line in survey.problems():
         print_error(line)
     return ExitCode.DONE if survey.complete else ExitCode.INCOMPLETE
--- a/packages/burdockquay/src/burdockquay/_usage.py
+++ b/packages/burdockquay/src/burdockquay/_usage.py
@@ -1,4 +1,4 @@
-"""Sums of what the entries count by organisation and class."""
+"""Sums of the counts of all entries by organisation and class."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 @attrs.define
 class TargetCounts:
-    """How often a latency target was met and missed."""
+    """Number of requests that met and that missed a latency target."""
 
     met: int = 0
     missed: int = 0
 
     @property
     def attainment(self) -> float:
-        """Part of the requests that met the target; 1 if there were none."""
+        """Share of the requests that met the target; 1 if there were no requests."""
         total = self.met + self.missed
         return self.met / total if total else 1.0
 
 
 class UsageTotals:
-    """Adds up the pages ``/usage`` of the entries."""
+    """Sums of the ``/usage`` pages of the entries."""
 
     def __init__(self):
         self._rows: dict[tuple[str, str], UsageRow] = {}
@@ -54,7 +54,7 @@
                 total.missed += counts["missed"]
 
     def describe(self) -> dict[str, Any]:
-        """Return the sums in the form of the pages."""
+        """Return the sums in the format of a ``/usage`` page."""
         attainment: dict[str, dict[str, dict[str, int]]] = {}
         for (class_name, target), counts in sorted(self._targets.items()):
             attainment.setdefault(class_name, {})[target] = attrs.asdict(counts)
--- a/packages/burdockquay/src/burdockquay/cli.py
+++ b/packages/burdockquay/src/burdockquay/cli.py
@@ -1,9 +1,9 @@
-"""The operators' command ``burdockquay``.
+"""Command line tool ``burdockquay`` for operators.
 
-Exit codes: 0 done; 1 faulty input or a failed check; 2 wrong arguments; 3 somebody else changed
-the record first; 4 the platform does not answer; 5 the change may have been accepted or not;
-6 some process did not answer; 7 no such record or request. Only with 0 or 5 can anything have been
-written.
+Exit codes: 0 success; 1 invalid input or a failed check; 2 invalid arguments; 3 the record was
+changed by someone else in the meantime; 4 the platform does not answer; 5 the change may or may not
+have been accepted; 6 some process did not answer; 7 no such record or request. Data can have been
+written only with 0 or 5.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def main() -> None:
-    """Run the command line and leave with its exit code."""
+    """Run the command line and exit with its exit code."""
     try:
         code = app(sys.argv[1:])
     except UnknownNameError as error:
--- a/packages/burdockquay/src/burdockquay/tests/test_cli.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' command against the platform stand-in."""
+"""Tests of the operators' command against the platform stand-in."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def platform():
-    """Platform stand-in in a thread, as the command runs an event loop of its own."""
+    """Platform stand-in in a thread, because the command runs its own event loop."""
     loop = asyncio.new_event_loop()
     standin = PlatformStandin()
     thread = threading.Thread(target=loop.run_forever)
@@ -58,7 +58,7 @@
     return run
 
 
-def test_record_goes_in_comes_out_and_goes_in_again(call):
+def test_record_can_be_put_read_edited_and_put_again(call):
     assert call("record", "put", text=GROUP)[0] == ExitCode.DONE
     assert call("record", "put", text=CLASSES)[0] == ExitCode.DONE
     code, out, _ = call("record", "get", "class", "hold")
@@ -76,9 +76,9 @@
     assert call("record", "get", "class", "draft")[0] == ExitCode.NOT_FOUND
 
 
-def test_loser_of_a_race_is_told_who_when_and_what(call):
-    """Two operators edit the same record that they both have read. The second put must not undo
-    the first one unseen: its author hears who came first and what was changed.
+def test_conflicting_put_reports_who_changed_what_and_when(call):
+    """Guards against a lost update when two operators edit the same revision of a record: the
+    second put is rejected and reports the author, time and changes of the first one.
     """
     call("record", "put", text=GROUP)
     first = GROUP.replace("4", "6")
@@ -91,7 +91,7 @@
     assert "places (schema 1): 4 -> 6" in err
 
 
-def test_all_faults_are_told_at_once(call):
+def test_all_faults_are_reported_at_once(call):
     text = """[
       {"kind": "gruop", "name": "desk", "schema": 1},
       {"kind": "class", "name": "hold", "schema": 3, "body": {}},
@@ -106,15 +106,15 @@
 @pytest.mark.parametrize(
     "text", ["", "[]", "nothing", "[1]", '{"kind": "group", "kind": "class"}', '{"kind": []}']
 )
-def test_input_that_is_no_record_is_refused_with_a_message(call, text):
+def test_input_that_is_no_record_is_rejected_with_a_message(call, text):
     code, _, err = call("record", "check", text=text)
     assert code == ExitCode.FAULTS
     assert "expected" in err
 
 
-def test_outage_and_lost_confirmation_are_told_apart(call, platform):
-    """The table is down: nothing was written, says the command. The table takes the change and its
-    answer is lost: the command reads back and says that the change was accepted.
+def test_outage_and_lost_confirmation_are_distinguished(call, platform):
+    """If the table is down, the command reports that nothing was written. If the table applies the
+    change but its answer is lost, the command reads back and reports that it was accepted.
     """
     platform.faults.outage = True
     code, _, err = call("record", "put", text=GROUP)
@@ -127,7 +127,7 @@
     assert "found by reading back" in out
 
 
-def test_withdrawal_of_what_is_in_use_is_refused(call):
+def test_withdrawal_of_a_record_in_use_is_rejected(call):
     call("record", "put", text=GROUP)
     call("record", "put", text=CLASSES)
     code, _, err = call("record", "withdraw", "group", "desk", "--expected-revision", "1")
@@ -136,7 +136,7 @@
 
 
 def test_process_that_does_not_answer_is_named(call, platform):
-    """A VM is in the list and its process is gone. The status must not look complete without it."""
+    """Guards against a status that looks complete although the process of a listed VM is down."""
     platform.put_vm(VmEntry("e1", "entry", "127.0.0.1", 1, 1, "praha-hall"))
     code, out, err = call("status", "--json")
     assert code == ExitCode.INCOMPLETE
@@ -151,7 +151,7 @@
     assert len(list(EXAMPLES.iterdir())) == 4
 
 
-def test_unknown_adapter_is_refused_with_the_known_ones(monkeypatch, capsys):
+def test_unknown_adapter_is_rejected_with_a_suggestion(monkeypatch, capsys):
     monkeypatch.setattr("sys.argv", ["burdockquay", "record", "list", "--table", "htpt"])
     with pytest.raises(SystemExit) as ended:
         main()
--- a/packages/burdockquay/src/burdockquay/tests/test_example_deployments.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_example_deployments.py
@@ -1,4 +1,4 @@
-"""The example deployments are accepted as a whole and send requests where their comments say."""
+"""Tests that the example deployments are accepted and route requests as their comments say."""
 
 from pathlib import Path
 
@@ -35,7 +35,7 @@
         ("klidne", CHAT, "drafting", "", "eulogy-draft"),
     ],
 )
-async def test_a_request_goes_to_the_class_that_the_comments_name(
+async def test_request_is_routed_to_the_class_that_the_comments_name(
     name, path, model, service_class, expected
 ):
     snapshot = await load(name)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("name", ["dala", "klidne"])
-async def test_the_keys_of_the_comments_are_valid_and_others_are_not(name):
+async def test_keys_in_the_comments_are_valid_and_others_are_not(name):
     snapshot = await load(name)
     for organisation in snapshot.organisations:
         found = authenticate(snapshot, f"{organisation}.change-me")
