--- a/packages/burdockquay-standins/src/burdockquay_standins/_answers.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_answers.py
@@ -1,7 +1,7 @@
-"""The answer to a chat request: a function of seed, model and messages, the same on every engine.
+"""Answers to chat requests, which depend on seed, model and messages only, not on the engine.
 
-That makes a resumed answer identical whichever engine continues it, and an answer that mixes two
-requests or lacks a token visible to whoever compares it with :func:`expected_answer`.
+A resumed answer is therefore identical whichever engine continues it, and an answer that mixes two
+requests or lacks a token is detected by comparing it with :func:`expected_answer`.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 from typing import Any
 
 WORDS = 10_000
-"""Number of different tokens."""
+"""Size of the vocabulary, tokens."""
 MEDIAN_TOKENS = 48
-"""Median length of an answer that ``max_tokens`` does not cut."""
+"""Median length of an answer that is not limited by ``max_tokens``."""
 LENGTH_SIGMA = 0.7
-"""Spread of the logarithm of the length: one answer in six is over twice the median."""
+"""Standard deviation of the logarithm of the length: one answer in six exceeds twice the median."""
 DEFAULT_MAX_TOKENS = 512
 BLOCK_CHARACTERS = 64
-"""Characters of the prompt in one block of the prefix cache; stands for 16 tokens."""
+"""Characters of the prompt in one block of the prefix cache; they represent 16 tokens."""
 
 
 def request_digest(body: Mapping[str, Any], seed: int) -> bytes:
-    """Return the digest that decides the answer to a request body."""
+    """Return the digest that determines the answer to a request body."""
     identity = [seed, body.get("model", ""), body.get("messages", [])]
     return hashlib.blake2b(json.dumps(identity, sort_keys=True).encode(), digest_size=16).digest()
 
@@ -36,12 +36,13 @@
 
 
 def expected_answer(body: Mapping[str, Any], seed: int) -> list[str]:
-    """Return the tokens of the whole answer to a request body.
+    """Return the tokens of the complete answer to a request body.
 
     Parameters
     ----------
     body : mapping
-        Body of a chat request: ``model``, ``messages``, ``max_tokens`` and ``min_tokens`` count.
+        Body of a chat request; only ``model``, ``messages``, ``max_tokens`` and ``min_tokens``
+        affect the answer.
     seed : int
         Seed of the engines.
 
@@ -54,13 +55,13 @@
     True
     """
     rng = random.Random(request_digest(body, seed))
-    natural = max(1, round(MEDIAN_TOKENS * rng.lognormvariate(0.0, LENGTH_SIGMA)))
-    count = min(max(natural, body.get("min_tokens", 1)), answer_limit(body))
+    natural_length = max(1, round(MEDIAN_TOKENS * rng.lognormvariate(0.0, LENGTH_SIGMA)))
+    count = min(max(natural_length, body.get("min_tokens", 1)), answer_limit(body))
     return [f"w{rng.randrange(WORDS)} " for _ in range(count)]
 
 
 def prompt_blocks(body: Mapping[str, Any]) -> list[bytes]:
-    """Return the digest of each whole block of the prompt, each over all blocks before it too."""
+    """Return one digest per complete block of the prompt, which covers all blocks before it too."""
     text = json.dumps([body.get("model", ""), body.get("messages", [])])
     digest = hashlib.blake2b(digest_size=8)
     blocks = []
--- a/packages/burdockquay-standins/src/burdockquay_standins/_chat.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_chat.py
@@ -1,4 +1,4 @@
-"""OpenAI-style bodies of the engine stand-in, formatted cheaply."""
+"""OpenAI-style request and answer bodies of the engine stand-in, with fast formatting of chunks."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 @attrs.frozen
 class ChatRequest:
-    """A checked chat request.
+    """A validated chat request.
 
     Parameters
     ----------
     model : str
     streamed : bool
     resume_tokens : list of str
-        Tokens of the answer that were delivered before.
+        Tokens of the answer that the caller has received already.
     prompt_characters : int
+        Length of the contents of all messages.
     """
 
     model: str
@@ -36,12 +37,12 @@
 
 
 def parse_chat(body: Mapping[str, Any]) -> ChatRequest:
-    """Check the body of a chat request.
+    """Validate the body of a chat request.
 
     Raises
     ------
     ValueError
-        If a field is missing or of the wrong type; says what was expected and got.
+        If a field is missing or has the wrong type; the message has the expected and actual value.
     """
     model = body.get("model")
     messages = body.get("messages")
@@ -61,7 +62,7 @@
 
 @attrs.frozen
 class ChatFormat:
-    """Formats the answer to one request.
+    """Formatter of the answer to one request.
 
     Parameters
     ----------
@@ -77,25 +78,25 @@
     created: int
 
     def chunks(self, tokens: Sequence[str]) -> bytes:
-        """Return one server-sent event for each token."""
-        before, behind = self._around_token()
-        return b"".join(before + token.encode() + behind for token in tokens)
+        """Return one server-sent event per token."""
+        prefix, suffix = self._split_chunk()
+        return b"".join(prefix + token.encode() + suffix for token in tokens)
 
     def last_chunk(self, finish_reason: str, usage: Mapping[str, int]) -> bytes:
-        """Return the event that ends an answer, and the end of the stream."""
+        """Return the final event of an answer, followed by the end marker of the stream."""
         choice = {"index": 0, "delta": {}, "finish_reason": finish_reason}
-        chunk = self._object("chat.completion.chunk", choice) | {"usage": usage}
+        chunk = self._make_object("chat.completion.chunk", choice) | {"usage": usage}
         return b"data: " + json.dumps(chunk).encode() + b"\n\n" + DONE
 
-    def whole(
+    def complete_answer(
         self, tokens: Sequence[str], finish_reason: str, usage: Mapping[str, int]
     ) -> dict[str, Any]:
         """Return the body of an answer that is not streamed."""
         message = {"role": "assistant", "content": "".join(tokens)}
         choice = {"index": 0, "message": message, "finish_reason": finish_reason}
-        return self._object("chat.completion", choice) | {"usage": usage}
+        return self._make_object("chat.completion", choice) | {"usage": usage}
 
-    def _object(self, kind: str, choice: Mapping[str, Any]) -> dict[str, Any]:
+    def _make_object(self, kind: str, choice: Mapping[str, Any]) -> dict[str, Any]:
         return {
             "id": self.request,
             "object": kind,
@@ -104,21 +105,21 @@
             "choices": [choice],
         }
 
-    def _around_token(self) -> tuple[bytes, bytes]:
-        mark = "\x00"
-        choice = {"index": 0, "delta": {"content": mark}, "finish_reason": None}
-        text = json.dumps(self._object("chat.completion.chunk", choice))
-        before, behind = text.split(json.dumps(mark)[1:-1])
-        return f"data: {before}".encode(), f"{behind}\n\n".encode()
+    def _split_chunk(self) -> tuple[bytes, bytes]:
+        placeholder = "\x00"
+        choice = {"index": 0, "delta": {"content": placeholder}, "finish_reason": None}
+        text = json.dumps(self._make_object("chat.completion.chunk", choice))
+        prefix, suffix = text.split(json.dumps(placeholder)[1:-1])
+        return f"data: {prefix}".encode(), f"{suffix}\n\n".encode()
 
 
 def finish_reason(body: Mapping[str, Any], tokens: Sequence[str]) -> str:
-    """Return why an answer ended: its natural end or ``max_tokens``."""
+    """Return why an answer ended: ``"stop"`` or, limited by ``max_tokens``, ``"length"``."""
     return "length" if len(tokens) == answer_limit(body) else "stop"
 
 
 def parse_stream(content: bytes) -> tuple[list[str], bool]:
-    """Return the tokens of a streamed answer, and whether it was ended properly.
+    """Return the tokens of a streamed answer, and whether it ended properly.
 
     Examples
     --------
--- a/packages/burdockquay-standins/src/burdockquay_standins/_engine.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_engine.py
@@ -1,4 +1,4 @@
-"""Engine stand-in: continuous batching over HTTP, with switches for faults."""
+"""Engine stand-in: continuous batching over HTTP, with fault injection."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from ._chat import ChatFormat, ChatRequest, finish_reason, parse_chat
 from ._faults import EngineFaults
 from ._lagged import Lagged
-from ._orders import OrderBook, parse_order
+from ._orders import OrderExecutor, parse_order
 from ._prefix import PrefixCache
 from ._server import StandinServer, bad_request, cut_connection, read_object
 
-STARTS_KEPT = 100_000
-"""Requests whose number of starts is remembered."""
-LATE_STEP_S = 0.05
-"""A step loop that is later than this starts counting afresh instead of catching up."""
+MAX_COUNTED_REQUESTS = 100_000
+"""Maximum number of requests whose starts are counted."""
+MAX_STEP_LAG_S = 0.05
+"""Lag of the step loop, seconds, above which it continues from now instead of catching up."""
 
 
 @attrs.frozen
@@ -36,29 +36,29 @@
     Parameters
     ----------
     seed : int
-        Decides the answers; the same for all engines of a test.
+        Determines the answers; the same for all engines of a test.
     places : int
-        Sequences that run at a time.
+        Maximum number of sequences that run at the same time.
     base_step_s, per_running_s : float
         A step takes ``base_step_s + per_running_s * running`` seconds.
     prefill_block_s : float
-        Time for one block of the prompt that is not in the prefix cache, seconds.
+        Prefill time of a prompt block that is not in the prefix cache, seconds.
     cache_blocks : int
-        Blocks that the prefix cache holds.
+        Capacity of the prefix cache, blocks.
     load_lag_s, event_lag_s : float
         Age of the load report and of published cache events, seconds.
     event_loss : float
-        Part of the cache events that are never published.
+        Probability that a cache event is never published.
     models : list of str
-        Models that are loaded at the start.
+        Models that are loaded initially.
     checks_fencing : bool
-        Whether orders with an old fencing number are refused.
+        Whether orders with an outdated fencing number are rejected.
     poison_marker : str
-        A request whose body holds this text crashes the engine; empty for none.
+        A request whose body contains this text crashes the engine; empty for none.
     poison_after_tokens : int
-        Tokens of such a request before the crash.
+        Number of tokens generated for such a request before the crash.
     restart_s : float
-        How long the engine refuses connections after a crash, seconds.
+        Time for which the engine refuses connections after a crash, seconds.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -95,7 +95,7 @@
 
 
 class EngineStandin(StandinServer):
-    """Model engine with the protocol of ``docs/design/standins.md``.
+    """Model engine that speaks the protocol of ``docs/design/standins.md``.
 
     Parameters
     ----------
@@ -121,7 +121,7 @@
             self.parameters.event_loss,
             rng,
         )
-        self.orders = OrderBook(self.parameters.checks_fencing)
+        self.orders = OrderExecutor(self.parameters.checks_fencing)
         self.orders.models.extend(self.parameters.models)
         self.faults = EngineFaults()
         self.tokens_generated = 0
@@ -130,7 +130,7 @@
         self.ends: Counter[str] = Counter()
         self._sequences: dict[str, GeneratedSequence] = {}
         self._load = Lagged(self._current_load(), self.parameters.load_lag_s)
-        self._work = asyncio.Event()
+        self._work_available = asyncio.Event()
 
     def routes(self) -> list[web.AbstractRouteDef]:
         """Return the routes of the engine."""
@@ -147,22 +147,22 @@
         ]
 
     async def start(self) -> None:
-        """Listen and start to generate."""
+        """Start to listen and to generate tokens."""
         await super().start()
         self.spawn(self._generate())
 
     async def _generate(self) -> None:
         # The clock of the event loop is coarse and cached: with it a step would last up to a
-        # millisecond longer, depending on when a request comes.
+        # millisecond longer, depending on when a request arrives.
         due = time.monotonic()
         while True:
             if not self.batch.running:
-                self._work.clear()
-                await self._work.wait()
+                self._work_available.clear()
+                await self._work_available.wait()
                 due = time.monotonic()
             due += self._step_s()
             await self._sleep_until(due)
-            if time.monotonic() - due > LATE_STEP_S:
+            if time.monotonic() - due > MAX_STEP_LAG_S:
                 due = time.monotonic()
             self._step()
 
@@ -175,19 +175,19 @@
         generated = self.batch.step(self._step_s())
         self.tokens_generated += generated
         self._load.record(self._current_load(), time.monotonic())
-        if self.faults.count_down(generated) or self._poisoned():
-            self._die()
+        if self.faults.count_tokens(generated) or self._has_poisoned_sequence():
+            self._crash()
 
     def _step_s(self) -> float:
         running = len(self.batch.running)
         step_s = self.parameters.base_step_s + self.parameters.per_running_s * running
         return step_s * self.faults.slow_factor
 
-    def _poisoned(self) -> bool:
+    def _has_poisoned_sequence(self) -> bool:
         after = self.parameters.poison_after_tokens
         return any(part.poisonous and part.generated >= after for part in self.batch.running)
 
-    def _die(self) -> None:
+    def _crash(self) -> None:
         self.crash(self.parameters.restart_s)
         self.batch.crash()
         self.cache.clear()
@@ -228,7 +228,7 @@
         self._count_start(sequence.request)
         self._sequences[sequence.request] = sequence
         self._admit(sequence)
-        answer = self._stream if chat.streamed else self._whole
+        answer = self._answer_streamed if chat.streamed else self._answer_unstreamed
         try:
             response = await answer(request, sequence, body, chat)
         finally:
@@ -261,36 +261,36 @@
             return
         self.batch.add(sequence)
         self._load.record(self._current_load(), time.monotonic())
-        self._work.set()
+        self._work_available.set()
 
     def _count_start(self, name: str) -> None:
         self.starts[name] = self.starts.pop(name, 0) + 1
-        if len(self.starts) > STARTS_KEPT:
+        if len(self.starts) > MAX_COUNTED_REQUESTS:
             self.starts.popitem(last=False)
 
-    async def _stream(
+    async def _answer_streamed(
         self,
         request: web.Request,
         sequence: GeneratedSequence,
         body: dict[str, Any],
         chat: ChatRequest,
     ) -> web.StreamResponse:
-        form = ChatFormat(sequence.request, chat.model, int(time.time()))
+        formatter = ChatFormat(sequence.request, chat.model, int(time.time()))
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
         while True:
             await sequence.wait()
-            tokens = sequence.take()
+            tokens = sequence.take_new_tokens()
             if sequence.ended:
                 break
-            await response.write(form.chunks(tokens))
+            await response.write(formatter.chunks(tokens))
         if sequence.state is not SequenceState.FINISHED:
             return cut_connection(request)
-        last = form.last_chunk(finish_reason(body, sequence.tokens), _usage(chat, sequence))
-        await response.write(form.chunks(tokens) + last)
+        last = formatter.last_chunk(finish_reason(body, sequence.tokens), _usage(chat, sequence))
+        await response.write(formatter.chunks(tokens) + last)
         return response
 
-    async def _whole(
+    async def _answer_unstreamed(
         self,
         request: web.Request,
         sequence: GeneratedSequence,
@@ -299,13 +299,13 @@
     ) -> web.StreamResponse:
         while not sequence.ended:
             await sequence.wait()
-            sequence.take()
+            sequence.take_new_tokens()
         if sequence.state is not SequenceState.FINISHED:
             return cut_connection(request)
-        form = ChatFormat(sequence.request, chat.model, int(time.time()))
+        formatter = ChatFormat(sequence.request, chat.model, int(time.time()))
         tokens = sequence.tokens[sequence.start :]
         reason = finish_reason(body, sequence.tokens)
-        return web.json_response(form.whole(tokens, reason, _usage(chat, sequence)))
+        return web.json_response(formatter.complete_answer(tokens, reason, _usage(chat, sequence)))
 
     async def _control(self, request: web.Request) -> web.Response:
         sequence = self._sequences.get(request.match_info["request"])
@@ -316,7 +316,7 @@
         }
         if sequence is None or not actions[request.match_info["action"]](sequence):
             return web.json_response({"error": "no such request"}, status=404)
-        self._work.set()
+        self._work_available.set()
         return web.json_response({"generated": sequence.position})
 
     async def _read_load(self, _: web.Request) -> web.Response:
@@ -341,7 +341,7 @@
             order = parse_order(await read_object(request))
         except ValueError as error:
             raise bad_request(str(error)) from error
-        if not self.orders.act(*order):
+        if not self.orders.execute(*order):
             error = f"expected a fencing number of at least {self.orders.highest_fencing}"
             return web.json_response({"error": error}, status=409)
         return web.json_response({"done": order[0]})
@@ -352,14 +352,14 @@
         except ValueError as error:
             raise bad_request(str(error)) from error
         if crash:
-            asyncio.get_running_loop().call_soon(self._die)
+            asyncio.get_running_loop().call_soon(self._crash)
         return web.json_response({})
 
     async def _read_stats(self, _: web.Request) -> web.Response:
         return web.Response(text=json.dumps(self.stats()), content_type="application/json")
 
     def stats(self) -> dict[str, Any]:
-        """Return what was counted since the start, over crashes."""
+        """Return the counters since the start, which crashes do not reset."""
         return {
             "tokens_generated": self.tokens_generated,
             "starts": self.starts,
--- a/packages/burdockquay-standins/src/burdockquay_standins/_faults.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_faults.py
@@ -1,4 +1,4 @@
-"""Switches for the faults of an engine."""
+"""Fault switches of the engine stand-in."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 
 
 class EngineFaults:
-    """What is wrong with an engine now.
+    """Faults of an engine that are active now.
 
-    The switches of ``POST /faults``: ``stall_s`` stops the steps for so many seconds,
-    ``slow_factor`` stretches each step, ``crash`` cuts everything at once, ``crash_after_tokens``
-    after so many more tokens, ``refuse`` answers new requests with 503.
+    The switches of ``POST /faults``: ``stall_s`` suspends the steps for this many seconds,
+    ``slow_factor`` multiplies the duration of each step, ``crash`` crashes the engine immediately
+    and ``crash_after_tokens`` after this many more tokens, ``refuse`` answers new requests with
+    503.
     """
 
     def __init__(self):
@@ -31,12 +32,12 @@
         self._tokens_to_crash: int | None = None
 
     def switch(self, body: Mapping[str, Any], now: float) -> bool:
-        """Set the switches that the body names; true if the engine is to crash now.
+        """Set the switches that the body names; return whether the engine is to crash now.
 
         Raises
         ------
         ValueError
-            If a switch is unknown or its value out of range; nothing is set then.
+            If a switch is unknown or its value is out of range; no switch is set then.
         """
         check_switches(_SWITCHES, body)
         if "stall_s" in body:
@@ -46,8 +47,8 @@
         self._tokens_to_crash = body.get("crash_after_tokens", self._tokens_to_crash)
         return body.get("crash", False)
 
-    def count_down(self, tokens: int) -> bool:
-        """Count generated tokens; true if the engine is to crash now."""
+    def count_tokens(self, tokens: int) -> bool:
+        """Count generated tokens; return whether the engine is to crash now."""
         if self._tokens_to_crash is None:
             return False
         self._tokens_to_crash -= tokens
@@ -58,12 +59,13 @@
 
 
 def check_switches(switches: Mapping[str, Constraint], body: Mapping[str, Any]) -> None:
-    """Check the names and values of fault switches.
+    """Validate the names and values of fault switches.
 
     Raises
     ------
     ValueError
-        With what was expected and got.
+        If a switch is unknown or its value is out of range. The message has the expected and the
+        actual value.
     """
     for name, value in body.items():
         if name not in switches:
--- a/packages/burdockquay-standins/src/burdockquay_standins/_lagged.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_lagged.py
@@ -1,4 +1,4 @@
-"""A value whose readers see an older state of it."""
+"""A value that readers see with a delay."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class Lagged(Generic[T]):
-    """History of a value that is read with a lag.
+    """A value that is read as it was some time ago.
 
     Parameters
     ----------
     initial : object
-        What readers see before the first recorded value is old enough.
+        Value that readers see until the first recorded value is old enough.
     lag_s : float
-        Age of what readers see, seconds.
+        Age of the state that readers see, seconds.
 
     Examples
     --------
@@ -29,19 +29,19 @@
     def __init__(self, initial: T, lag_s: float):
         self.initial = initial
         self.lag_s = lag_s
-        self._seen = initial
+        self._visible = initial
         self._history: deque[tuple[float, T]] = deque()
 
     def record(self, value: T, now: float) -> None:
-        """Set the value as of ``now``, seconds."""
-        self._forget(now)
+        """Set the value at time ``now``, seconds."""
+        self._expire(now)
         self._history.append((now, value))
 
     def read(self, now: float) -> T:
         """Return the value as it was ``lag_s`` before ``now``."""
-        self._forget(now)
-        return self._seen
+        self._expire(now)
+        return self._visible
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         while self._history and self._history[0][0] <= now - self.lag_s:
-            self._seen = self._history.popleft()[1]
+            self._visible = self._history.popleft()[1]
--- a/packages/burdockquay-standins/src/burdockquay_standins/_orders.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine: each acted on as it comes, old fencing numbers refused or not."""
+"""Orders to an engine: execution, with an optional check of their fencing numbers."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 ORDERS = ("load_model", "load_adapter", "load_version", "change_role")
 
 
-class OrderBook:
-    """What an engine was ordered to do.
+class OrderExecutor:
+    """State of an engine that orders change, and counts of executed and rejected orders.
 
     Parameters
     ----------
     checks_fencing : bool
-        Refuse an order whose fencing number is lower than the highest seen.
+        Whether to reject an order whose fencing number is below the highest one received.
     """
 
     def __init__(self, checks_fencing: bool):
@@ -26,8 +26,8 @@
         self.highest_fencing = 0
         self.refused = 0
 
-    def act(self, order_id: str, order: str, argument: str, fencing: int) -> bool:
-        """Act on an order, again if it was acted on before; false if it was refused."""
+    def execute(self, order_id: str, order: str, argument: str, fencing: int) -> bool:
+        """Execute an order, also one that was executed before; false if it was rejected."""
         if self.checks_fencing and fencing < self.highest_fencing:
             self.refused += 1
             return False
@@ -41,12 +41,12 @@
 
 
 def parse_order(body: Mapping[str, Any]) -> tuple[str, str, str, int]:
-    """Return id, order, argument and fencing number of the body of an order.
+    """Return id, name, argument and fencing number from the body of an order.
 
     Raises
     ------
     ValueError
-        If a field is missing or of the wrong type.
+        If a field is missing or has the wrong type, or the name is unknown.
     """
     texts = [body.get(name) for name in ("id", "order", "argument")]
     fencing = body.get("fencing")
--- a/packages/burdockquay-standins/src/burdockquay_standins/_prefix.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_prefix.py
@@ -1,4 +1,4 @@
-"""Prompt prefix cache of an engine, and the events that it publishes late and with gaps."""
+"""Prompt prefix cache of an engine, and its events, which are published late and with gaps."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 import attrs
 
-EVENTS_KEPT = 4096
+MAX_KEPT_EVENTS = 4096
 
 
 @attrs.frozen
 class CacheEvent:
-    """A block was stored in or evicted from the cache.
+    """Event for a block that was stored in or evicted from the cache.
 
     Parameters
     ----------
     sequence : int
-        Number of the event, from 1; numbers are missing where events were lost.
+        Number of the event, counted from 1; numbers are missing where events were dropped.
     kind : str
         ``"stored"`` or ``"evicted"``.
     block : str
         Hexadecimal digest of the block.
     at : float
-        When it happened, seconds.
+        Time of the event, seconds.
     """
 
     sequence: int
@@ -34,16 +34,16 @@
 
 
 class PrefixCache:
-    """Least-recently-used cache over blocks of prompts.
+    """Least-recently-used cache of prompt blocks.
 
     Parameters
     ----------
     capacity : int
-        Blocks that fit.
+        Maximum number of blocks.
     event_lag_s : float
         Age at which an event is published, seconds.
     event_loss : float
-        Part of the events that are never published.
+        Probability that an event is never published.
     rng : random.Random
     """
 
@@ -53,11 +53,11 @@
         self.event_loss = event_loss
         self.rng = rng
         self._blocks: OrderedDict[bytes, None] = OrderedDict()
-        self._events: deque[CacheEvent] = deque(maxlen=EVENTS_KEPT)
+        self._events: deque[CacheEvent] = deque(maxlen=MAX_KEPT_EVENTS)
         self._sequence = 0
 
     def admit(self, blocks: Sequence[bytes], now: float) -> int:
-        """Store the blocks of a prompt and return how many leading ones were there already."""
+        """Store the blocks of a prompt and return how many leading blocks were cached already."""
         hits = 0
         for block in blocks:
             if block not in self._blocks:
@@ -68,13 +68,17 @@
         return hits
 
     def clear(self) -> None:
-        """Forget every block, as a crash does."""
+        """Drop all blocks, as after a crash; no events are published for them."""
         self._blocks.clear()
 
     def events(self, after: int, now: float) -> list[CacheEvent]:
-        """Return the published events behind number ``after``."""
-        newest = now - self.event_lag_s
-        return [event for event in self._events if event.sequence > after and event.at <= newest]
+        """Return the published events with numbers above ``after``."""
+        published_until = now - self.event_lag_s
+        return [
+            event
+            for event in self._events
+            if event.sequence > after and event.at <= published_until
+        ]
 
     def _touch(self, block: bytes, now: float) -> None:
         if block in self._blocks:
--- a/packages/burdockquay-standins/src/burdockquay_standins/_service.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_service.py
@@ -1,4 +1,4 @@
-"""Plain service stand-in: counts each effect by idempotency key, with switches for faults."""
+"""Plain service stand-in, which counts effects by idempotency key, with fault injection."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 NO_KEY = ""
-"""Effects of requests without an idempotency key are counted under this one."""
+"""Key under which the effects of requests without an idempotency key are counted."""
 
 _SWITCHES: dict[str, Constraint] = {
     "delay_s": Interval(float, 0.0, 3600.0),
@@ -34,11 +34,11 @@
     Parameters
     ----------
     delay_s : float
-        Time from the request to its effect, seconds.
+        Time between a request and its effect, seconds.
     deduplicates : bool
         Whether a repeated key gets the first answer and has no second effect.
     restart_s : float
-        How long the service refuses connections after a crash, seconds.
+        Time for which the service refuses connections after a crash, seconds.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -53,17 +53,17 @@
 
 
 def service_digest(method: str, path: str, body: bytes) -> str:
-    """Return the digest of a request that the service echoes in its answer."""
+    """Return the digest of a request, which the service includes in its answer."""
     identity = f"{method} {path}\n".encode() + body
     return hashlib.blake2b(identity, digest_size=16).hexdigest()
 
 
 class ServiceStandin(StandinServer):
-    """Plain service: every method on every path, an effect for each method that is not safe.
+    """Plain service that accepts every method on every path; unsafe methods have an effect.
 
-    ``GET /effects`` tells how many effects each key had; ``POST /faults`` takes ``delay_s``,
-    ``cut_before`` and ``cut_after`` (how many of the next requests lose their connection before or
-    after their effect) and ``crash``.
+    ``GET /effects`` returns the number of effects by key. ``POST /faults`` accepts ``delay_s``,
+    ``cut_before`` and ``cut_after`` (the number of next requests whose connection is aborted before
+    or after their effect) and ``crash``.
 
     Parameters
     ----------
@@ -101,15 +101,15 @@
         body = await request.read()
         self.requests += 1
         key = request.headers.get("Idempotency-Key", NO_KEY)
-        if self._cut("cut_before"):
+        if self._consume_cut("cut_before"):
             return cut_connection(request)
         await asyncio.sleep(self.delay_s)
-        answer = self._act(request, key, body)
-        if self._cut("cut_after"):
+        answer = self._apply_effect(request, key, body)
+        if self._consume_cut("cut_after"):
             return cut_connection(request)
         return web.json_response(answer)
 
-    def _act(self, request: web.Request, key: str, body: bytes) -> dict[str, Any]:
+    def _apply_effect(self, request: web.Request, key: str, body: bytes) -> dict[str, Any]:
         digest = service_digest(request.method, request.path_qs, body)
         if request.method in SAFE_METHODS:
             return {"digest": digest, "effect": 0}
@@ -121,7 +121,7 @@
             self._answers[key] = answer
         return answer
 
-    def _cut(self, switch: str) -> bool:
+    def _consume_cut(self, switch: str) -> bool:
         if self.cuts[switch] == 0:
             return False
         self.cuts[switch] -= 1
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_batch.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_batch.py
@@ -1,4 +1,4 @@
-"""The batch keeps its limits and loses no token, whatever is done to it in whatever order."""
+"""Tests that the batch keeps its limits and drops no token under any sequence of operations."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, rule
@@ -52,10 +52,10 @@
         running = len(self.batch.running)
         assert self.batch.step(0.001) == running
         for sequence in self.all:
-            self.taken[sequence] += sequence.take()
+            self.taken[sequence] += sequence.take_new_tokens()
 
     @invariant()
-    def places_are_kept_and_filled_by_priority(self):
+    def capacity_is_kept_and_fully_used(self):
         running = self.batch.running
         states = [sequence.state for sequence in self.all]
         assert len(running) == len(set(running)) == states.count(SequenceState.RUNNING) <= PLACES
@@ -63,7 +63,7 @@
         assert not self.batch.queued or len(running) == PLACES
 
     @invariant()
-    def tokens_come_in_order_without_gap_or_repeat(self):
+    def tokens_are_in_order_without_gaps_or_repeats(self):
         for sequence in self.all:
             assert self.taken[sequence] == sequence.tokens[: sequence.position]
             if sequence.state is SequenceState.FINISHED:
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_engine.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine's protocol over HTTP: whole answers, control calls, faults, orders and reports."""
+"""Tests of the engine's protocol over HTTP: answers, control calls, faults, orders and reports."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
         await asyncio.sleep(0.001)
 
 
-async def test_streamed_and_whole_answer_equal_the_expected_one(client, body):
+async def test_streamed_and_unstreamed_answer_equal_the_expected_one(client, body):
     async with engine(seed=7) as server:
         assert await complete(client, server, body) == (expected_answer(body, 7), True)
         url = f"{server.url}/v1/chat/completions"
@@ -44,7 +44,7 @@
     assert answer["usage"]["completion_tokens"] == len(tokens)
 
 
-async def test_answers_of_many_callers_do_not_mix(client, body):
+async def test_answers_to_concurrent_callers_do_not_mix(client, body):
     bodies = [body | {"messages": [{"role": "user", "content": str(i)}]} for i in range(30)]
     async with engine(places=4) as server:
         answers = await asyncio.gather(
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("delivered", [0, 1, 20, 39, 40])
-async def test_resumed_answer_goes_on_behind_the_delivered_tokens(client, body, delivered):
+async def test_resumed_answer_continues_after_the_delivered_tokens(client, body, delivered):
     body = body | {"messages": [{"role": "user", "content": "long answer 2"}]}
     whole = expected_answer(body, 1)
     assert len(whole) == 40
@@ -67,7 +67,7 @@
         assert server.resume_mismatches == 1
 
 
-async def test_paused_request_frees_its_place_and_goes_on_after_resume(client, body):
+async def test_paused_request_frees_its_capacity_and_continues_after_resume(client, body):
     other = body | {"messages": [{"role": "user", "content": "other"}]}
     async with engine(places=1) as server:
         first = asyncio.create_task(complete(client, server, body, "first"))
@@ -84,7 +84,7 @@
 
 
 async def test_cancelled_request_never_looks_finished(client, body):
-    """A cancelled answer that ended cleanly would pass for a whole one."""
+    """Guards against a cancelled answer that ends normally and so looks complete."""
     async with engine(base_step_s=0.005) as server:
         answer = asyncio.create_task(complete(client, server, body, "first"))
         await until(lambda: server.tokens_generated > 1)
@@ -95,7 +95,7 @@
     assert len(tokens) < len(expected_answer(body, 1))
 
 
-async def test_caller_that_leaves_frees_its_place(client, body):
+async def test_caller_that_disconnects_frees_its_capacity(client, body):
     async with engine(places=1, base_step_s=0.005) as server:
         answer = asyncio.create_task(complete(client, server, body))
         await until(lambda: server.tokens_generated > 1)
@@ -107,8 +107,8 @@
 @pytest.mark.parametrize(
     "fault", [{"crash_after_tokens": 5}, {"poison_marker": "magnesium"}], ids=["count", "poison"]
 )
-async def test_crash_cuts_streams_and_the_engine_comes_back(client, body, fault):
-    """An engine dies in the middle of an answer; its caller must not take the rest for whole."""
+async def test_crash_cuts_streams_and_the_engine_restarts(client, body, fault):
+    """Guards against an answer that looks complete although the engine crashed in the middle."""
     poison = "poison_marker" in fault
     async with engine(**(fault if poison else {})) as server:
         if not poison:
@@ -170,7 +170,7 @@
         {"resume_tokens": [1]},
     ],
 )
-async def test_malformed_requests_are_refused(client, body, change):
+async def test_malformed_requests_are_rejected(client, body, change):
     async with engine() as server:
         url = f"{server.url}/v1/chat/completions"
         async with client.post(url, json=body | change) as response:
@@ -180,13 +180,13 @@
             assert response.status == 404
 
 
-async def test_fault_switches_are_checked(client):
+async def test_fault_switches_are_validated(client):
     async with engine() as server:
         for switches in ({"stal_s": 1}, {"slow_factor": 0}, {"crash": 1}):
             async with client.post(f"{server.url}/faults", json=switches) as response:
                 assert response.status == 400
 
 
-def test_parameters_out_of_range_are_named():
+def test_parameters_out_of_range_are_reported():
     with pytest.raises(InvalidParameterError, match=r"places: expected .*got 0.*event_loss"):
         engine(places=0, event_loss=2.0)
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_service.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The plain service counts each effect, whether or not its answer arrives."""
+"""Tests that the plain service counts each effect, whether or not its answer arrives."""
 
 import aiohttp
 import pytest
@@ -32,8 +32,9 @@
 
 
 @pytest.mark.parametrize(("switch", "expected"), [("cut_before", {}), ("cut_after", {"k1": 1})])
-async def test_cut_connection_tells_nothing_of_the_effect(client, switch, expected):
-    """The connection is lost once the request was read; the caller can't see whether it ran."""
+async def test_cut_connection_leaves_the_effect_unknown(client, switch, expected):
+    """The connection is aborted after the request was read, before or after its effect; the caller
+    cannot see which."""
     async with ServiceStandin() as server:
         await client.post(f"{server.url}/faults", json={switch: 1})
         with pytest.raises(aiohttp.ClientError):
