--- a/packages/burdockquay-standins/src/burdockquay_standins/_delay_line.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_delay_line.py
@@ -1,4 +1,4 @@
-"""A TCP connection with latency: stands for the network between two failure domains."""
+"""TCP relay with latency, which simulates the network between two failure domains."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class DelayLine:
-    """Listens on the loopback and passes every connection on, each way a little later.
+    """Relay on the loopback interface that delays the data of each connection in both directions.
 
     Parameters
     ----------
     host, port
-        Where connections are passed on to.
+        Address that connections are relayed to.
     delay_s : float
-        One-way latency, seconds; may be changed while connections are open. Pieces never overtake
-        each other.
+        One-way latency, seconds; may be changed while connections are open. Data is never
+        reordered.
 
     Notes
     -----
     The timers of the event loop have a resolution of about a millisecond, so that a latency of
-    1.5 ms is now 1 ms, now 2 ms.
+    1.5 ms is sometimes 1 ms and sometimes 2 ms.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -46,7 +46,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def __aenter__(self) -> Self:
-        self._server = await asyncio.start_server(self._pass_on, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._relay_connection, "127.0.0.1", 0)
         self.listening_port = self._server.sockets[0].getsockname()[1]
         return self
 
@@ -56,48 +56,54 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _pass_on(
-        self, near_reader: asyncio.StreamReader, near_writer: asyncio.StreamWriter
+    async def _relay_connection(
+        self, client_reader: asyncio.StreamReader, client_writer: asyncio.StreamWriter
     ) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection(self.host, self.port)
+            target_reader, target_writer = await asyncio.open_connection(self.host, self.port)
         except OSError:
-            near_writer.close()
+            client_writer.close()
             return
-        ways = (self._one_way(near_reader, far_writer), self._one_way(far_reader, near_writer))
+        directions = (
+            self._relay_direction(client_reader, target_writer),
+            self._relay_direction(target_reader, client_writer),
+        )
         try:
-            await asyncio.gather(*map(self._spawn, ways), return_exceptions=True)
+            await asyncio.gather(*map(self._spawn, directions), return_exceptions=True)
         finally:
-            near_writer.close()
-            far_writer.close()
+            client_writer.close()
+            target_writer.close()
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    async def _one_way(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        pieces: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue()
-        writing = self._spawn(_write_when_due(pieces, writer))
+    async def _relay_direction(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        chunk_queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue()
+        writing = self._spawn(_write_when_due(chunk_queue, writer))
         try:
             while data := await reader.read(READ_BYTES):
-                pieces.put_nowait((time.monotonic() + self.delay_s, data))
+                chunk_queue.put_nowait((time.monotonic() + self.delay_s, data))
         except ConnectionError:
-            # A reset is passed on as one: taken for an end, it could make a cut stream look whole.
+            # A reset is relayed as a reset: as a normal end, it could make a cut stream look
+            # complete.
             writing.cancel()
             writer.transport.abort()
             return
-        pieces.put_nowait((time.monotonic() + self.delay_s, b""))
+        chunk_queue.put_nowait((time.monotonic() + self.delay_s, b""))
         await writing
 
 
 async def _write_when_due(
-    pieces: asyncio.Queue[tuple[float, bytes]], writer: asyncio.StreamWriter
+    chunk_queue: asyncio.Queue[tuple[float, bytes]], writer: asyncio.StreamWriter
 ) -> None:
     with contextlib.suppress(ConnectionError):
         while True:
-            due, data = await pieces.get()
+            due, data = await chunk_queue.get()
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             if not data:
                 writer.write_eof()
--- a/packages/burdockquay-standins/src/burdockquay_standins/_gate.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_gate.py
@@ -1,4 +1,4 @@
-"""A relay between a process and what it connects to, which can be made to fail like a network."""
+"""TCP relay between a process and a server, which can simulate network faults."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class GateState(enum.Enum):
-    """What a gate does with bytes and connections."""
+    """State of the simulated network."""
 
     OPEN = "open"
-    SILENT = "silent"
-    """Nothing passes and nothing is closed: a partition. What was held passes once it is over."""
-    DEAF = "deaf"
-    """Questions pass, answers do not: cut one way."""
+    PARTITIONED = "silent"
+    """Partition: no data passes and no connection is closed. Held data passes afterwards."""
+    ONE_WAY = "deaf"
+    """One-way partition: requests pass, answers are held."""
     CUT = "cut"
-    """Connections are reset, old and new ones."""
+    """Existing and new connections are reset."""
 
 
 class Gate:
-    """Relays connections on the loopback to another port.
+    """Relay for connections on the loopback interface to another port.
 
     Parameters
     ----------
     target : int
-        Port that connections lead to.
+        Port that connections are relayed to.
     delay_s : float
-        Time by which each piece of data is late, seconds.
+        Delay after each read of data, in each direction, seconds.
     """
 
     def __init__(self, target: int, delay_s: float = 0.0):
@@ -44,7 +44,7 @@
 
     @property
     def port(self) -> int:
-        """Port it listens on."""
+        """Port that the relay listens on."""
         return self._server.sockets[0].getsockname()[1]
 
     async def __aenter__(self) -> Self:
@@ -60,7 +60,7 @@
             writer.transport.abort()
 
     async def become(self, state: GateState) -> None:
-        """Change what it does."""
+        """Change the state; ``CUT`` also resets the open connections."""
         async with self._changed:
             self._state = state
             self._changed.notify_all()
@@ -70,32 +70,32 @@
 
     async def _relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            onward = await asyncio.open_connection("127.0.0.1", self.target)
+            target_streams = await asyncio.open_connection("127.0.0.1", self.target)
         except OSError:
             reset_connection(writer)
             return
-        # It may have been cut while the way onward was opened.
+        # The state may have become CUT while the connection to the target was opened.
         if self._state is GateState.CUT:
             reset_connection(writer)
-            onward[1].close()
+            target_streams[1].close()
             return
-        self._writers |= {writer, onward[1]}
-        ways = [
-            asyncio.create_task(self._pass(reader, onward[1], is_answer=False)),
-            asyncio.create_task(self._pass(onward[0], writer, is_answer=True)),
+        self._writers |= {writer, target_streams[1]}
+        directions = [
+            asyncio.create_task(self._forward(reader, target_streams[1], is_answer=False)),
+            asyncio.create_task(self._forward(target_streams[0], writer, is_answer=True)),
         ]
-        self._tasks.update(ways)
+        self._tasks.update(directions)
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
-            self._tasks.difference_update(ways)
-            self._writers -= {writer, onward[1]}
+            for direction in directions:
+                direction.cancel()
+            self._tasks.difference_update(directions)
+            self._writers -= {writer, target_streams[1]}
             writer.close()
-            onward[1].close()
+            target_streams[1].close()
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_answer: bool
     ) -> None:
         try:
@@ -106,10 +106,12 @@
                 await writer.drain()
             await self._wait_until_open(is_answer)
         except ConnectionError:
-            # One side is gone; the other one hears of it as its connection is closed.
+            # One side has disconnected; the connection of the other side is closed by _relay.
             return
 
     async def _wait_until_open(self, is_answer: bool) -> None:
-        shut = {GateState.SILENT, GateState.DEAF} if is_answer else {GateState.SILENT}
+        blocking_states = (
+            {GateState.PARTITIONED, GateState.ONE_WAY} if is_answer else {GateState.PARTITIONED}
+        )
         async with self._changed:
-            await self._changed.wait_for(lambda: self._state not in shut)
+            await self._changed.wait_for(lambda: self._state not in blocking_states)
--- a/packages/burdockquay-standins/src/burdockquay_standins/_raw_server.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_raw_server.py
@@ -1,4 +1,4 @@
-"""HTTP server that writes exactly the bytes it is told to, for faults on the wire."""
+"""HTTP server that writes exactly the bytes it is given, to produce protocol faults."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @attrs.frozen
 class RawRequest:
-    """A request as it arrived.
+    """A received request.
 
     Parameters
     ----------
     method, target : str
     headers : dict of str to str
-        Names in lower case.
+        Header names are in lower case.
     body : bytes
     """
 
@@ -30,16 +30,16 @@
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Reset the connection of a writer; what was written may still arrive before."""
+    """Reset the connection of a writer; data written before may still arrive."""
     sock = writer.get_extra_info("socket")
-    # One that is closed already has no socket any more, or one without a descriptor.
+    # A closed connection has no socket, or a socket without a descriptor.
     if sock is not None and sock.fileno() >= 0:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 class RawConnection:
-    """One connection of a client to a raw server.
+    """Connection of a client to a raw server.
 
     Parameters
     ----------
@@ -51,25 +51,25 @@
         self.writer = writer
 
     async def write(self, data: bytes) -> None:
-        """Write bytes."""
+        """Write bytes and wait until the buffer is drained."""
         self.writer.write(data)
         await self.writer.drain()
 
     def close(self) -> None:
-        """Close after what was written."""
+        """Close the connection after sending the data written so far."""
         self.writer.close()
 
     def reset(self) -> None:
-        """Reset the connection; what was written may still arrive before."""
+        """Reset the connection; data written before may still arrive."""
         reset_connection(self.writer)
 
     async def closed(self) -> None:
-        """Wait until the client has closed."""
+        """Wait until the client has closed the connection; discard what it sends."""
         while await self.reader.read(65536):
             pass
 
     async def read_request(self) -> RawRequest | None:
-        """Return the next request, None if the client has closed."""
+        """Return the next request, or None if the client has closed the connection."""
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -95,12 +95,14 @@
 
 
 class RawServer:
-    """Server whose behaviour for each request is given as a function.
+    """Server that handles each request with a given function.
+
+    Functions in the list ``script`` are used first, each for one request.
 
     Parameters
     ----------
     behaviour : callable
-        What is done with each request for which ``script`` holds nothing.
+        Handles each request while ``script`` is empty.
     """
 
     def __init__(self, behaviour: Behaviour):
@@ -109,7 +111,7 @@
         self.received: list[RawRequest] = []
         self.connections = 0
         self._tasks: set[asyncio.Task] = set()
-        self._held: socket.socket | None = None
+        self._port_holder: socket.socket | None = None
 
     async def __aenter__(self) -> Self:
         self._server = await asyncio.start_server(self._connect, "127.0.0.1", 0)
@@ -118,18 +120,18 @@
 
     async def __aexit__(self, *_: object) -> None:
         await self.go_down()
-        self._held.close()
+        self._port_holder.close()
 
     def refuse_connections(self) -> None:
-        """Listen no more, and keep the port from other servers, which would answer in its place."""
+        """Stop listening, but keep the port bound so that no other server can answer on it."""
         self._server.close()
-        if self._held is None:
-            self._held = socket.socket()
-            self._held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._held.bind(("127.0.0.1", self.port))
+        if self._port_holder is None:
+            self._port_holder = socket.socket()
+            self._port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self._port_holder.bind(("127.0.0.1", self.port))
 
     async def go_down(self) -> None:
-        """Refuse connections and break off all that run, as a crash does."""
+        """Refuse new connections and reset the open ones, as a crash does."""
         self.refuse_connections()
         for task in tuple(self._tasks):
             task.cancel()
@@ -143,10 +145,10 @@
         try:
             while (request := await connection.read_request()) is not None:
                 self.received.append(request)
-                behave = self.script.pop(0) if self.script else self.behaviour
-                await behave(request, connection)
+                handle_request = self.script.pop(0) if self.script else self.behaviour
+                await handle_request(request, connection)
         except ConnectionError:
-            # The client left.
+            # The client disconnected.
             pass
         except asyncio.CancelledError:
             connection.reset()
--- a/packages/burdockquay-standins/src/burdockquay_standins/_server.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_server.py
@@ -1,4 +1,4 @@
-"""HTTP server that every stand-in listens with: embedded, as a program, and able to crash."""
+"""HTTP server of all stand-ins, which can run embedded or as a program and can simulate crashes."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class StandinServer:
-    """HTTP server on a port of the loopback that can be cut off and come back.
+    """HTTP server on a local port that can crash and restart.
 
     Parameters
     ----------
     host : str
     port : int
-        0 takes a free port, which stays the same over crashes.
+        0 selects a free port, which stays the same after a crash.
 
     Notes
     -----
-    A crash closes the listening socket and aborts each connection, so that a client sees what it
-    sees when a process dies: streams end in the middle and new connections are refused.
+    A crash closes the listening socket and aborts each connection. Clients see the same as when a
+    process dies: streams end in the middle and new connections are refused.
     """
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0):
@@ -36,7 +36,7 @@
 
     @property
     def url(self) -> str:
-        """Base URL without a slash at the end."""
+        """Base URL without a trailing slash."""
         return f"http://{self.host}:{self.port}"
 
     @property
@@ -49,7 +49,7 @@
         raise NotImplementedError
 
     async def start(self) -> None:
-        """Listen; returns when connections are accepted."""
+        """Start to listen; return when connections are accepted."""
         application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.add_routes(self.routes())
         self._runner = web.AppRunner(application, handler_cancellation=True, access_log=None)
@@ -57,7 +57,7 @@
         await self._listen()
 
     async def stop(self) -> None:
-        """Stop listening and end every task."""
+        """Stop listening, cancel all tasks and abort all connections."""
         self._close_listener()
         for task in tuple(self._tasks):
             task.cancel()
@@ -75,7 +75,7 @@
         await self.stop()
 
     def crash(self, restart_s: float) -> None:
-        """Cut every connection, refuse new ones for ``restart_s`` seconds, then listen again."""
+        """Abort all connections, refuse new ones for ``restart_s`` seconds, then listen again."""
         if not self.listening:
             return
         self.crashes += 1
@@ -83,9 +83,9 @@
         self._abort_connections()
         self.spawn(self._restart(restart_s))
 
-    def spawn(self, work: Any) -> None:
-        """Run a coroutine as a task that ends with the server."""
-        task = asyncio.get_running_loop().create_task(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Run a coroutine as a task that is cancelled when the server stops."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -112,14 +112,14 @@
 
 
 def cut_connection(request: web.Request) -> web.Response:
-    """Abort the connection of a request; the returned response is never seen."""
+    """Abort the connection of a request; the returned response is never sent."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response(status=500)
 
 
 async def read_object(request: web.Request) -> dict[str, Any]:
-    """Return the JSON object in the body.
+    """Return the JSON object in the body of a request.
 
     Raises
     ------
@@ -136,5 +136,5 @@
 
 
 def bad_request(text: str) -> web.HTTPBadRequest:
-    """Return an error answer that says what was wrong."""
+    """Return a 400 answer with a message."""
     return web.HTTPBadRequest(text=text)
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_delay_line.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_delay_line.py
@@ -1,4 +1,4 @@
-"""The delay line keeps bytes and their order, and closes both sides."""
+"""Tests that the delay line keeps bytes and their order, and closes both sides."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
         yield server.sockets[0].getsockname()[1]
 
 
-async def test_bytes_come_back_whole_and_no_earlier_than_both_ways_take(echo):
+async def test_all_bytes_return_after_at_least_the_round_trip_time(echo):
     sent = b"".join(number.to_bytes(4, "big") for number in range(50_000))
     loop = asyncio.get_running_loop()
     async with DelayLine("127.0.0.1", echo, 0.02) as line:
@@ -34,13 +34,13 @@
         writer.close()
 
 
-async def test_nobody_listening_closes_the_connection(unused_tcp_port):
+async def test_connection_is_closed_if_the_target_does_not_listen(unused_tcp_port):
     async with DelayLine("127.0.0.1", unused_tcp_port, 0.0) as line:
         reader, writer = await asyncio.open_connection("127.0.0.1", line.listening_port)
         assert await reader.read() == b""
         writer.close()
 
 
-def test_parameters_are_checked():
+def test_parameters_are_validated():
     with pytest.raises(InvalidParameterError, match=r"port: .*got 0; delay_s: .*got -1"):
         DelayLine("127.0.0.1", 0, -1.0)
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_gate.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The relay that fails like a network."""
+"""Tests of the relay that simulates network faults."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -7,7 +7,7 @@
 
 from burdockquay_standins import Gate, GateState, RawServer
 
-QUESTION = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
 async def answer(request, connection):
@@ -22,17 +22,17 @@
         writer.close()
 
 
-async def test_bytes_pass_both_ways():
+async def test_data_passes_in_both_directions():
     async with connected() as (_, _, reader, writer):
-        writer.write(QUESTION)
+        writer.write(REQUEST)
         assert await reader.readexactly(4) == b"here"
 
 
-@pytest.mark.parametrize(("state", "heard"), [(GateState.SILENT, 0), (GateState.DEAF, 1)])
-async def test_what_is_held_passes_when_it_is_over(state, heard):
+@pytest.mark.parametrize(("state", "heard"), [(GateState.PARTITIONED, 0), (GateState.ONE_WAY, 1)])
+async def test_held_data_passes_after_the_partition(state, heard):
     async with connected() as (server, gate, reader, writer):
         await gate.become(state)
-        writer.write(QUESTION)
+        writer.write(REQUEST)
         answering = asyncio.create_task(reader.readexactly(4))
         await asyncio.sleep(0.1)
         assert len(server.received) == heard
@@ -52,7 +52,7 @@
         writer.close()
 
 
-async def test_a_server_that_is_gone_is_heard_as_a_reset():
+async def test_unavailable_server_leads_to_a_reset():
     async with RawServer(answer) as server, Gate(server.port) as gate:
         await server.go_down()
         reader, writer = await asyncio.open_connection("127.0.0.1", gate.port)
