--- a/packages/burdockquay-standins/src/burdockquay_standins/__init__.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins of engines, plain services and the platform, for tests and benchmarks."""
+"""Stand-ins for model engines, plain services and the platform, for tests and benchmarks."""
 
 from ._answers import expected_answer
 from ._chat import parse_stream
--- a/packages/burdockquay-standins/src/burdockquay_standins/__main__.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in as a program; prints its port as one JSON line when it listens."""
+"""Program that runs one stand-in and prints its port as one JSON line once it listens."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     host: str = "127.0.0.1",
     port: int = 0,
 ) -> None:
-    """Run a model engine."""
+    """Run a stand-in for a model engine."""
     uvloop.run(_serve("engine", EngineStandin, parameters, host, port))
 
 
@@ -45,7 +45,7 @@
     host: str = "127.0.0.1",
     port: int = 0,
 ) -> None:
-    """Run a plain service."""
+    """Run a stand-in for a plain service."""
     uvloop.run(_serve("service", ServiceStandin, parameters, host, port))
 
 
@@ -56,7 +56,7 @@
     host: str = "127.0.0.1",
     port: int = 0,
 ) -> None:
-    """Run the table service, object store and VM list."""
+    """Run a stand-in for the table service, object store and VM list."""
     uvloop.run(_serve("platform", PlatformStandin, parameters, host, port))
 
 
@@ -73,7 +73,7 @@
 
 
 def main() -> None:
-    """Run the command line; exit 2 with a message if a parameter is out of range."""
+    """Run the command line; exit with code 2 and a message if a parameter is out of range."""
     try:
         app()
     except InvalidParameterError as error:
--- a/packages/burdockquay-standins/src/burdockquay_standins/_feed_table.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_feed_table.py
@@ -1,4 +1,4 @@
-"""Model of a store whose tables are read as a whole and then followed by a feed."""
+"""Model of a store whose tables are read in full once and then followed through a change feed."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 @attrs.frozen
 class FeedRow:
-    """A row as of one change.
+    """A row as written by one change.
 
     Parameters
     ----------
     table, key : str
     value : bytes or None
-        None once the row is removed.
+        None if the change removed the row.
     revision : int
+        Revision of the change.
     """
 
     table: str
@@ -28,18 +29,18 @@
 
 @attrs.frozen
 class FeedCopy:
-    """A copy of a store, as of one revision.
+    """Copy of a store at one revision.
 
     Parameters
     ----------
     changes : tuple of FeedRow
-        All changes up to the revision, in their order.
+        All changes up to the revision, in order.
     forgotten : int
-        Revision up to which feeds cannot read the changes.
+        Revision up to which the history is discarded, so that feeds cannot read it.
     """
 
     changes: tuple[FeedRow, ...]
-    forgotten: int
+    discarded_upto: int
 
     @property
     def revision(self) -> int:
@@ -48,18 +49,18 @@
 
 
 class ForgottenError(Exception):
-    """The history does not hold the revision that was asked for."""
+    """The requested revision is not in the history of the store."""
 
 
 class EraEndedError(Exception):
-    """The store came back from a copy while a question waited."""
+    """The store was restored from a copy while a query was waiting."""
 
 
 class FeedStore:
-    """Tables with one counter of changes, and the history that feeds read.
+    """Tables with a common revision counter, and the history of changes that feeds read.
 
-    A store that comes back from a copy begins a new era: what was written since the copy is gone,
-    and its revisions are given to other changes.
+    Restoring the store from a copy begins a new era: everything written since the copy is lost, and
+    its revisions are assigned again to other changes.
 
     Examples
     --------
@@ -82,7 +83,7 @@
         self.revision = 0
         self._rows: dict[tuple[str, str], FeedRow] = {}
         self._changes: list[FeedRow] = []
-        self._forgotten = 0
+        self._discarded_upto = 0
         self._waiters: set[asyncio.Future] = set()
 
     def put(self, table: str, key: str, value: bytes) -> int:
@@ -99,25 +100,25 @@
         return sorted(found, key=lambda row: row.key)
 
     def changes(self, table: str, after: int) -> list[FeedRow]:
-        """Return what changed in a table after a revision.
+        """Return the changes of a table after a revision.
 
         Raises
         ------
         ForgottenError
         """
-        if not self._forgotten <= after <= self.revision:
+        if not self._discarded_upto <= after <= self.revision:
             raise ForgottenError
         return [row for row in self._changes if row.table == table and row.revision > after]
 
     def forget(self) -> None:
-        """Drop the whole history."""
-        self._forgotten = self.revision
+        """Discard the complete history of changes; the rows stay."""
+        self._discarded_upto = self.revision
 
     def copy(self, revision: int | None = None) -> FeedCopy:
-        """Return a copy as of a revision of this era, the present one by default."""
+        """Return a copy at a revision of this era; defaults to the current revision."""
         upto = self.revision if revision is None else revision
         changes = tuple(row for row in self._changes if row.revision <= upto)
-        return FeedCopy(changes, min(self._forgotten, upto))
+        return FeedCopy(changes, min(self._discarded_upto, upto))
 
     def return_from(self, copy: FeedCopy) -> None:
         """Begin a new era with the rows and the history of a copy."""
@@ -125,11 +126,11 @@
         self.revision = copy.revision
         self._changes = list(copy.changes)
         self._rows = _replay(copy.changes)
-        self._forgotten = copy.forgotten
+        self._discarded_upto = copy.discarded_upto
         self._wake_waiters()
 
     async def wait(self, table: str, after: int, wait_s: float) -> list[FeedRow]:
-        """Return what changed after a revision, as soon as there is something or the time is up.
+        """Return the changes after a revision as soon as there are any, or none after a timeout.
 
         Raises
         ------
--- a/packages/burdockquay-standins/src/burdockquay_standins/_operations.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_operations.py
@@ -1,4 +1,4 @@
-"""JSON form of rows and operations of the table service."""
+"""JSON encoding of the rows and operations of the table service."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def row_to_json(row: Row | None) -> dict[str, Any] | None:
-    """Return a row with its value in base64."""
+    """Return the JSON form of a row, with its value in base64; None for None."""
     if row is None:
         return None
     value = base64.b64encode(row.value).decode()
@@ -19,12 +19,12 @@
 
 
 def parse_keys(body: Mapping[str, Any]) -> list[str]:
-    """Return the keys of a ``get``.
+    """Return the keys of a ``get`` request.
 
     Raises
     ------
     ValueError
-        If they are no list of strings.
+        If they are not a list of strings.
     """
     keys = body.get("keys")
     if not isinstance(keys, list) or not all(isinstance(key, str) for key in keys):
@@ -33,12 +33,12 @@
 
 
 def parse_scan(body: Mapping[str, Any]) -> tuple[str, str, int]:
-    """Return prefix, the key to start behind, and limit of a ``scan``.
+    """Return prefix, key to start after, and limit of a ``scan`` request.
 
     Raises
     ------
     ValueError
-        If one is of the wrong type.
+        If one has the wrong type, or the limit is negative.
     """
     prefix, after, limit = body.get("prefix"), body.get("after", ""), body.get("limit", 1000)
     if not isinstance(prefix, str) or not isinstance(after, str):
@@ -49,12 +49,12 @@
 
 
 def parse_operations(body: Mapping[str, Any]) -> list[Operation]:
-    """Return the operations of a ``transact``.
+    """Return the operations of a ``transact`` request.
 
     Raises
     ------
     ValueError
-        If one is malformed, or the list is missing or empty.
+        If an operation is malformed, or the list is missing or empty.
     """
     operations = body.get("operations")
     if not isinstance(operations, list) or not operations:
--- a/packages/burdockquay-standins/src/burdockquay_standins/_platform.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_platform.py
@@ -1,4 +1,4 @@
-"""Platform stand-in: table service, object store and VM list over HTTP, with faults."""
+"""Platform stand-in: table service, object store and VM list over HTTP, with fault injection."""
 
 from __future__ import annotations
 
@@ -51,11 +51,11 @@
     Parameters
     ----------
     seed : int
-        Of the losses of confirmations.
+        Seed of the generator that decides which confirmations are dropped.
     vm_list_lag_s : float
         Age of the VM list that is served, seconds.
     era : int
-        Era of the table at the start; 0 names none.
+        Initial era of the table; 0 for a table without eras.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -71,31 +71,32 @@
 
 @attrs.define
 class PlatformFaults:
-    """What is wrong with the platform now.
+    """Faults of the platform that are active now.
 
     Parameters
     ----------
     outage : bool
-        Every call is answered 503 and certainly not carried out.
+        Every call is answered with 503 and is never executed.
     slow_s : float
-        Delay of every call before it is carried out, seconds.
-    lose_share : float
-        Part of the transactions that take effect without an answer.
+        Delay of every call before it is executed, seconds.
+    drop_share : float
+        Probability that a transaction takes effect but gets no answer.
     lose_next : int
-        How many of the next transactions do.
+        Number of the next transactions that take effect but get no answer.
     stale_until : float
-        Until then reads answer from the state at the time of the switch.
+        Monotonic time, in seconds, until which reads are answered from the state at the time of
+        the switch.
     """
 
     outage: bool = False
     slow_s: float = 0.0
-    lose_share: float = 0.0
+    drop_share: float = 0.0
     lose_next: int = 0
     stale_until: float = 0.0
 
 
 class PlatformStandin(StandinServer):
-    """Table service, object store and VM list, with the protocol of ``docs/design/standins.md``.
+    """Table service, object store and VM list; ``docs/design/standins.md`` has the protocol.
 
     Parameters
     ----------
@@ -130,12 +131,12 @@
     def routes(self) -> list[web.AbstractRouteDef]:
         """Return the routes of the platform."""
         return [
-            web.post("/table/get", self._guarded(self._name_era(self._get))),
-            web.post("/table/scan", self._guarded(self._name_era(self._scan))),
-            web.post("/table/transact", self._guarded(self._name_era(self._transact))),
-            web.put("/objects/{digest}", self._guarded(self._put_object)),
-            web.get("/objects/{digest}", self._guarded(self._get_object)),
-            web.get("/vms", self._guarded(self._list_vms)),
+            web.post("/table/get", self._with_faults(self._with_era_header(self._get))),
+            web.post("/table/scan", self._with_faults(self._with_era_header(self._scan))),
+            web.post("/table/transact", self._with_faults(self._with_era_header(self._transact))),
+            web.put("/objects/{digest}", self._with_faults(self._put_object)),
+            web.get("/objects/{digest}", self._with_faults(self._get_object)),
+            web.get("/vms", self._with_faults(self._list_vms)),
             web.put("/vms/{vm}", self._put_vm),
             web.delete("/vms/{vm}", self._delete_vm),
             web.post("/faults", self._set_faults),
@@ -143,29 +144,29 @@
         ]
 
     def put_vm(self, entry: VmEntry) -> None:
-        """Put a VM into the list, or replace its entry."""
+        """Add a VM to the list, or replace its entry."""
         self.vms = {**self.vms, entry.vm: entry}
         self._served_vms.record(self.vms, time.monotonic())
 
     def remove_vm(self, vm: str) -> bool:
-        """Take a VM off the list; false if it was not on it."""
-        known = vm in self.vms
+        """Remove a VM from the list; return whether it was listed."""
+        was_listed = vm in self.vms
         self.vms = {name: entry for name, entry in self.vms.items() if name != vm}
         self._served_vms.record(self.vms, time.monotonic())
-        return known
+        return was_listed
 
     def switch(self, body: dict[str, Any], now: float) -> None:
         """Set the fault switches that the body names.
 
-        ``lose_confirmation`` as an integer is the number of the next transactions that take effect
-        and lose their answer, as a number with a fraction point the probability of it.
+        An integer ``lose_confirmation`` is the number of the next transactions that take effect but
+        get no answer; a float is the probability of that for each transaction.
 
-        ``copy`` copies the table; ``return_to_copy`` brings it back as it was then, one era later.
+        ``copy`` copies the table; ``return_to_copy`` restores it from the copy, one era later.
 
         Raises
         ------
         ValueError
-            If a switch is unknown or its value out of range; nothing is set then.
+            If a switch is unknown or its value is out of range; no switch is set then.
         """
         check_switches(_SWITCHES, body)
         self.faults.outage = body.get("outage", self.faults.outage)
@@ -173,7 +174,7 @@
         if "hang" in body:
             (self._answering.clear if body["hang"] else self._answering.set)()
         if "lose_confirmation" in body:
-            self._lose(body["lose_confirmation"])
+            self._set_lost_confirmations(body["lose_confirmation"])
         if "stale_reads_s" in body:
             self.faults.stale_until = now + body["stale_reads_s"]
             self._stale_table = copy.deepcopy(self.table)
@@ -183,18 +184,18 @@
             self.table.return_to(self._copy)
             self.faults.stale_until = now
 
-    def _lose(self, amount: float) -> None:
+    def _set_lost_confirmations(self, amount: float) -> None:
         if isinstance(amount, int):
-            self.faults.lose_next, self.faults.lose_share = amount, 0.0
+            self.faults.lose_next, self.faults.drop_share = amount, 0.0
             return
         if amount > 1.0:
             raise ValueError(f"lose_confirmation: expected a share from 0.0 to 1.0, got {amount!r}")
-        self.faults.lose_next, self.faults.lose_share = 0, amount
+        self.faults.lose_next, self.faults.drop_share = 0, amount
 
-    def _guarded(
+    def _with_faults(
         self, handler: Callable[[web.Request], Awaitable[web.Response]]
     ) -> Callable[[web.Request], Awaitable[web.Response]]:
-        async def guarded(request: web.Request) -> web.Response:
+        async def handle_with_faults(request: web.Request) -> web.Response:
             await request.read()
             if self.faults.outage:
                 return web.json_response({"error": "outage"}, status=503)
@@ -206,17 +207,17 @@
             except ValueError as error:
                 raise bad_request(str(error)) from error
 
-        return guarded
+        return handle_with_faults
 
-    def _name_era(
+    def _with_era_header(
         self, handler: Callable[[web.Request], Awaitable[web.Response]]
     ) -> Callable[[web.Request], Awaitable[web.Response]]:
-        async def named(request: web.Request) -> web.Response:
+        async def handle_with_era(request: web.Request) -> web.Response:
             response = await handler(request)
             response.headers[ERA_HEADER] = str(self.table.era)
             return response
 
-        return named
+        return handle_with_era
 
     def _readable_table(self) -> MemoryTable:
         stale = time.monotonic() < self.faults.stale_until
@@ -238,7 +239,7 @@
         operations = parse_operations(await read_object(request))
         self.counts["writes"] += 1
         result = await self.table.transact(operations)
-        if self._loses_confirmation():
+        if self._drops_confirmation():
             return cut_connection(request)
         if result.is_ok():
             versions = [version and number_of(version) for version in result.unwrap()]
@@ -248,11 +249,11 @@
         self.counts["conflicts"] += 1
         return web.json_response({"conflicts": list(error.conflicts)}, status=409)
 
-    def _loses_confirmation(self) -> bool:
+    def _drops_confirmation(self) -> bool:
         if self.faults.lose_next > 0:
             self.faults.lose_next -= 1
             return True
-        return self.faults.lose_share > 0.0 and self._rng.random() < self.faults.lose_share
+        return self.faults.drop_share > 0.0 and self._rng.random() < self.faults.drop_share
 
     async def _put_object(self, request: web.Request) -> web.Response:
         self.counts["object_writes"] += 1
@@ -268,8 +269,10 @@
 
     async def _list_vms(self, request: web.Request) -> web.Response:
         self.counts["vm_reads"] += 1
-        served = self._served_vms.read(time.monotonic())
-        response = web.json_response({"vms": [_vm_to_json(entry) for entry in served.values()]})
+        visible_vms = self._served_vms.read(time.monotonic())
+        response = web.json_response(
+            {"vms": [_vm_to_json(entry) for entry in visible_vms.values()]}
+        )
         response.etag = hashlib.sha256(response.body).hexdigest()
         if response.etag in (request.if_none_match or ()):
             return web.Response(status=304)
@@ -285,8 +288,8 @@
         return web.Response(status=204)
 
     async def _delete_vm(self, request: web.Request) -> web.Response:
-        known = self.remove_vm(request.match_info["vm"])
-        return web.Response(status=204 if known else 404)
+        was_listed = self.remove_vm(request.match_info["vm"])
+        return web.Response(status=204 if was_listed else 404)
 
     async def _set_faults(self, request: web.Request) -> web.Response:
         body = await read_object(request)
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/conftest.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: an HTTP client and a request body."""
+"""Fixtures for an HTTP client and a request body."""
 
 import aiohttp
 import pytest
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_feed_table.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_feed_table.py
@@ -1,4 +1,4 @@
-"""Store whose tables are followed by a feed, and its return from a copy."""
+"""Tests of the store with change feeds, and of its restoration from a copy."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
     return {row.key: row.value for row in store.rows("fruit")}
 
 
-def test_return_undoes_what_was_written_since_the_copy(store):
+def test_restoration_undoes_changes_since_the_copy(store):
     copy = store.copy()
     store.put("fruit", "apple", b"brown")
     store.remove("fruit", "pear")
@@ -37,7 +37,7 @@
     assert store.revision == 1
 
 
-def test_revisions_are_given_out_again(store):
+def test_revisions_are_assigned_again(store):
     copy = store.copy()
     store.put("fruit", "apple", b"brown")
     store.return_from(copy)
@@ -45,7 +45,7 @@
     assert [(row.key, row.value) for row in store.changes("fruit", 2)] == [("pear", b"yellow")]
 
 
-def test_revision_beyond_the_copy_is_not_known_until_it_is_given_out_again(store):
+def test_revision_beyond_the_copy_is_unknown_until_it_is_assigned_again(store):
     copy = store.copy()
     store.put("fruit", "apple", b"brown")
     store.return_from(copy)
@@ -55,7 +55,7 @@
     assert store.changes("fruit", 3) == []
 
 
-def test_history_that_was_forgotten_before_the_copy_stays_forgotten(store):
+def test_history_discarded_before_the_copy_stays_discarded(store):
     store.forget()
     copy = store.copy()
     store.put("fruit", "apple", b"brown")
@@ -65,7 +65,7 @@
     assert store.changes("fruit", 2) == []
 
 
-def test_history_that_was_forgotten_after_the_copy_is_there_again(store):
+def test_history_discarded_after_the_copy_is_available_again(store):
     copy = store.copy()
     store.put("fruit", "apple", b"brown")
     store.forget()
@@ -73,7 +73,7 @@
     assert [row.key for row in store.changes("fruit", 1)] == ["pear"]
 
 
-def test_copy_is_not_changed_by_the_store_that_returned_from_it(store):
+def test_copy_is_not_changed_by_the_store_restored_from_it(store):
     copy = store.copy()
     store.return_from(copy)
     store.put("fruit", "apple", b"brown")
@@ -82,7 +82,7 @@
     assert values(store) == {"apple": b"red", "pear": b"green"}
 
 
-async def test_question_that_waits_ends_with_its_era(store):
+async def test_waiting_query_ends_with_its_era(store):
     waiting = asyncio.ensure_future(store.wait("fruit", 2, 60.0))
     await asyncio.sleep(0)
     store.return_from(store.copy())
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_platform.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol over HTTP, compared with the table in memory, and its faults."""
+"""Tests of the platform's protocol over HTTP, compared with the table in memory, and its faults."""
 
 import asyncio
 import base64
@@ -84,13 +84,13 @@
         ("/faults", {"lose_confirmation": 1.5}),
     ],
 )
-async def test_malformed_calls_are_refused(client, path, body):
+async def test_malformed_calls_are_rejected(client, path, body):
     async with PlatformStandin() as server:
         text = await call(client, server, path, body, 400)
         assert re.search("expected|unknown switch 'outages'", text)
 
 
-async def test_outage_carries_nothing_out(client):
+async def test_calls_are_not_executed_during_an_outage(client):
     async with PlatformStandin() as server:
         await call(client, server, "/faults", {"outage": True})
         await call(client, server, "/table/transact", put("a", b"1"), 503)
@@ -99,7 +99,7 @@
 
 
 async def test_lost_confirmation_takes_effect(client):
-    """The write is carried out but its answer is lost, so the writer can't know."""
+    """The write is executed but gets no answer, so that the writer does not know its outcome."""
     async with PlatformStandin() as server:
         await call(client, server, "/faults", {"lose_confirmation": 1})
         with pytest.raises(aiohttp.ClientError):
@@ -119,7 +119,7 @@
         assert await write == {"versions": [1]}
 
 
-async def test_stale_reads_show_the_past_and_transactions_the_present(client):
+async def test_stale_reads_see_an_old_state_and_transactions_the_current_one(client):
     async with PlatformStandin() as server:
         await call(client, server, "/table/transact", put("a", b"old"))
         await call(client, server, "/faults", {"stale_reads_s": 3600})
@@ -157,7 +157,7 @@
             assert await response.read() == b"content"
 
 
-async def test_return_to_a_copy_loses_writes_and_gives_their_versions_again(client):
+async def test_restoration_from_a_copy_loses_writes_and_reuses_their_versions(client):
     async with PlatformStandin(PlatformParameters(era=1)) as server:
         await call(client, server, "/faults", {"copy": True})
         assert await call(client, server, "/table/transact", put("a", b"1")) == {"versions": [1]}
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_program.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The stand-ins as programs: one line with the port, end on a signal, faults named."""
+"""Tests of the stand-ins as programs: the port line, exit on a signal, invalid parameters."""
 
 import json
 import signal
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("kind", ["engine", "service", "platform"])
-def test_program_prints_its_port_and_ends_on_a_signal(kind):
+def test_program_prints_its_port_and_exits_on_a_signal(kind):
     with launch(kind, "--port", "0") as program:
         try:
             line = json.loads(program.stdout.readline())
@@ -27,7 +27,7 @@
         assert program.wait() == 0
 
 
-def test_program_names_a_parameter_out_of_range():
+def test_program_reports_a_parameter_out_of_range():
     with launch("engine", "--places", "0") as program:
         _, errors = program.communicate()
     assert program.returncode == 2
