--- a/packages/burdockquay-standins/src/burdockquay_standins/_feed_table.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_feed_table.py
@@ -35,7 +35,7 @@
     ----------
     changes : tuple of FeedRow
         All changes up to the revision, in order.
-    forgotten : int
+    discarded_upto : int
         Revision up to which the history is discarded, so that feeds cannot read it.
     """
 
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_batch.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_batch.py
@@ -15,14 +15,14 @@
         super().__init__()
         self.batch = Batch(PLACES)
         self.all = []
-        self.taken = {}
+        self.received_tokens = {}
 
     @rule(target=sequences, length=st.integers(2, 5), priority=st.integers(0, 2))
     def add(self, length, priority):
         tokens = [f"{len(self.all)}-{index}" for index in range(length)]
         sequence = GeneratedSequence(str(len(self.all)), tokens, 1, priority)
         self.all.append(sequence)
-        self.taken[sequence] = tokens[:1]
+        self.received_tokens[sequence] = tokens[:1]
         self.batch.add(sequence)
         return sequence
 
@@ -52,7 +52,7 @@
         running = len(self.batch.running)
         assert self.batch.step(0.001) == running
         for sequence in self.all:
-            self.taken[sequence] += sequence.take_new_tokens()
+            self.received_tokens[sequence] += sequence.take_new_tokens()
 
     @invariant()
     def capacity_is_kept_and_fully_used(self):
@@ -65,9 +65,9 @@
     @invariant()
     def tokens_are_in_order_without_gaps_or_repeats(self):
         for sequence in self.all:
-            assert self.taken[sequence] == sequence.tokens[: sequence.position]
+            assert self.received_tokens[sequence] == sequence.tokens[: sequence.position]
             if sequence.state is SequenceState.FINISHED:
-                assert self.taken[sequence] == sequence.tokens
+                assert self.received_tokens[sequence] == sequence.tokens
 
 
 TestBatch = BatchMachine.TestCase
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_engine.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_engine.py
@@ -57,11 +57,11 @@
 @pytest.mark.parametrize("delivered", [0, 1, 20, 39, 40])
 async def test_resumed_answer_continues_after_the_delivered_tokens(client, body, delivered):
     body = body | {"messages": [{"role": "user", "content": "long answer 2"}]}
-    whole = expected_answer(body, 1)
-    assert len(whole) == 40
+    expected_tokens = expected_answer(body, 1)
+    assert len(expected_tokens) == 40
     async with engine() as server:
-        resumed = body | {"resume_tokens": whole[:delivered]}
-        assert await complete(client, server, resumed) == (whole[delivered:], True)
+        resumed = body | {"resume_tokens": expected_tokens[:delivered]}
+        assert await complete(client, server, resumed) == (expected_tokens[delivered:], True)
         assert server.resume_mismatches == 0
         await complete(client, server, body | {"resume_tokens": ["another"]})
         assert server.resume_mismatches == 1
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_feed_table.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_feed_table.py
@@ -10,10 +10,10 @@
 @pytest.fixture
 def store():
     """A store with two changes."""
-    made = FeedStore()
-    made.put("fruit", "apple", b"red")
-    made.put("fruit", "pear", b"green")
-    return made
+    filled = FeedStore()
+    filled.put("fruit", "apple", b"red")
+    filled.put("fruit", "pear", b"green")
+    return filled
 
 
 def values(store):
--- a/packages/burdockquay/src/burdockquay/_bundle.py
+++ b/packages/burdockquay/src/burdockquay/_bundle.py
@@ -38,9 +38,9 @@
     ----------
     fd : int
         File descriptor of the open bundle.
-    start : int
+    code_offset : int
         Offset of the code in the file, which is where the index ends, bytes.
-    index : dict of str to Entry
+    index : dict of str to ModuleEntry
         Module name to its entry.
     roots : dict of str to str
         Folder of each root.
--- a/packages/burdockquay/src/burdockquay/_losses.py
+++ b/packages/burdockquay/src/burdockquay/_losses.py
@@ -71,7 +71,7 @@
     Parameters
     ----------
     name : str
-    fits : callable
+    matches : callable
         Returns whether this is the cause of a request, given that no earlier cause in ``CAUSES``
         matches it.
     """
@@ -211,7 +211,7 @@
 
     Parameters
     ----------
-    ended : list of Ended
+    ended : list of EndedRequest
         Ordered by the time of their end.
     span_s : float
         Length of a span, seconds.
@@ -224,6 +224,6 @@
 
 
 def _summarize_span(start_s: float, causes: list[str]) -> SpanSummary:
-    lost = [cause for cause in causes if cause != IN_TIME]
-    worst = max(sorted(set(lost)), key=lost.count, default="")
-    return SpanSummary(start_s, len(causes), 1 - len(lost) / len(causes), worst)
+    other_causes = [cause for cause in causes if cause != IN_TIME]
+    worst = max(sorted(set(other_causes)), key=other_causes.count, default="")
+    return SpanSummary(start_s, len(causes), 1 - len(other_causes) / len(causes), worst)
--- a/packages/burdockquay/src/burdockquay/_settings_file.py
+++ b/packages/burdockquay/src/burdockquay/_settings_file.py
@@ -188,7 +188,7 @@
             self._renames.append(self._make_fault(_join(path, name), f"is now named {new!r}"))
             new_name = new.rpartition(".")[2]
             if new_name in values:
-                self._add_fault(_join(path, name), f"given beside its new name {new!r}")
+                self._add_fault(_join(path, name), f"given together with its new name {new!r}")
             result[new_name] = value
         return result
 
--- a/packages/burdockquay/src/burdockquay/tests/test_losses.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_losses.py
@@ -75,10 +75,10 @@
 def test_rows_hold_counts_by_route_and_examples():
     lines = [ended(f"r{number}", status=503, sends=0, at=number) for number in range(5)]
     lines += [ended("r9", at=9)]
-    lost, kept = count_losses(read_ended_requests(read_lines(lines)))
-    assert (lost.cause, lost.count, lost.examples) == ("refused", 5, ("r0", "r1", "r2"))
-    assert (kept.cause, kept.count, kept.examples) == (IN_TIME, 1, ())
-    assert lost.share == pytest.approx(5 / 6)
+    refused, in_time = count_losses(read_ended_requests(read_lines(lines)))
+    assert (refused.cause, refused.count, refused.examples) == ("refused", 5, ("r0", "r1", "r2"))
+    assert (in_time.cause, in_time.count, in_time.examples) == (IN_TIME, 1, ())
+    assert refused.share == pytest.approx(5 / 6)
 
 
 def test_spans_show_when_and_why_requests_were_late():
--- a/packages/burdockquay/src/burdockquay/tests/test_settings_file.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_settings_file.py
@@ -128,7 +128,7 @@
     assert loaded.settings.stop_limit_s == 5
     assert [fault.message for fault in loaded.renamed] == ["is now named 'stop_limit_s'"]
     (fault,) = load({**VALID, "drain_s": 5, "stop_limit_s": 6}, renamed=renamed)
-    assert "given beside its new name" in fault
+    assert "given together with its new name" in fault
 
 
 values = st.recursive(
