--- a/packages/burdockquay-standins/src/burdockquay_standins/__init__.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/__init__.py
@@ -1,11 +1,11 @@
-"""Stand-ins of engines, plain services and the platform, for tests and benchmarks."""
+"""Stand-ins for model engines, plain services and the platform, for tests and benchmarks."""
 
 from ._answers import expected_answer
 from ._chat import parse_stream
 from ._delay_line import DelayLine
 from ._engine import EngineParameters, EngineStandin
+from ._faulty_relay import Gate, GateState
 from ._feed_table import EraEndedError, FeedCopy, FeedRow, FeedStore, ForgottenError
-from ._gate import Gate, GateState
 from ._platform import PlatformParameters, PlatformStandin
 from ._raw_server import Behaviour, RawConnection, RawRequest, RawServer
 from ._server import StandinServer
