--- a/packages/burdockquay-protocol/src/burdockquay_protocol/__init__.py
+++ b/packages/burdockquay-protocol/src/burdockquay_protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between the processes, their codec and handshake, and the closed list of errors."""
+"""Messages between processes, their codec and handshake, and the fixed set of error kinds."""
 
 from burdockquay_state._lazy import lazy_exports
 
--- a/packages/burdockquay-protocol/src/burdockquay_protocol/_codec.py
+++ b/packages/burdockquay-protocol/src/burdockquay_protocol/_codec.py
@@ -1,4 +1,4 @@
-"""Encoding of messages in CBOR, and the checks on what arrives."""
+"""CBOR encoding of messages, and validation of received bytes."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from ._messages import Frame, Frames, message_types
 
 MAX_FRAME_BYTES = 1 << 22
-"""Largest message on a connection between processes, bytes."""
+"""Largest encoded message between processes, bytes."""
 
 MAX_BODY_BYTES = 1 << 21
-"""Largest request or answer body, bytes; smaller than a message, which carries more."""
+"""Largest request or answer body, bytes; smaller than a message, which also has other fields."""
 
 
 class FaultKind(enum.Enum):
-    """What is wrong with bytes that arrived."""
+    """What is wrong with received bytes."""
 
     OVERSIZED = "oversized"
     MALFORMED = "malformed"
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class ProtocolFault:
-    """Bytes that are no message of the agreed protocol version."""
+    """Error for bytes that are not a message of the agreed protocol version."""
 
     kind: FaultKind
     detail: str
@@ -51,8 +51,8 @@
         attrs.resolve_types(_cls)
 
 
-def _check_strictly(kind: type) -> None:
-    """Make the converter refuse a value of another type instead of converting it."""
+def _require_exact_type(kind: type) -> None:
+    """Make the converter reject values of another type instead of converting them."""
 
     def structure(value: Any, _: type) -> Any:
         if type(value) is not kind:
@@ -63,7 +63,7 @@
 
 
 def _structure_float(value: Any, _: type) -> float:
-    # A peer that sent NaN would win or lose every comparison of scores.
+    # With NaN, a peer would win or lose every comparison of scores.
     if type(value) not in (int, float) or not math.isfinite(value):
         raise TypeError(f"expected a finite number, got {value!r}")
     return float(value)
@@ -71,13 +71,13 @@
 
 _converter.register_structure_hook(float, _structure_float)
 for _kind in (int, str, bytes, bool):
-    _check_strictly(_kind)
+    _require_exact_type(_kind)
 _converter.register_structure_hook(ErrorKind, lambda value, _: ErrorKind(value))
 _converter.register_unstructure_hook(ErrorKind, lambda kind: kind.value)
 
 
 def _structure_frame(value: Any, _: type) -> Frame:
-    # Written out because an entry decodes one for nearly every token it relays.
+    # Written by hand for speed: an entry decodes a frame for nearly every token it relays.
     request, attempt, sequence, part, data = value
     if not (
         type(request) is str
@@ -106,7 +106,7 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return the bytes of a message.
+    """Return the encoded message.
 
     Examples
     --------
@@ -118,7 +118,7 @@
 
 
 def decode(data: bytes, version: int) -> Result[Any, ProtocolFault]:
-    """Return the message in ``data``.
+    """Decode and validate one message.
 
     Parameters
     ----------
@@ -154,7 +154,7 @@
 
 
 def structure_fields(cls: type, items: list) -> Result[Any, ProtocolFault]:
-    """Return an instance of an attrs class made of decoded field values, in order."""
+    """Return an instance of an attrs class from its decoded field values, in field order."""
     if len(items) != len(attrs.fields(cls)):
         expected = len(attrs.fields(cls))
         return _fault(
@@ -167,12 +167,12 @@
 
 
 def encode_part(part: Any) -> bytes:
-    """Return the bytes of a part of a message, such as an :class:`AnswerHead`."""
+    """Return the encoded part of a message, such as an :class:`AnswerHead`."""
     return cbor2.dumps(_converter.unstructure(part))
 
 
 def decode_part(cls: type, data: bytes) -> Result[Any, ProtocolFault]:
-    """Return the part of type ``cls`` in ``data``."""
+    """Decode and validate a message part of type ``cls``."""
     try:
         items = cbor2.loads(data)
     except (cbor2.CBORDecodeError, ValueError, RecursionError) as error:
--- a/packages/burdockquay-protocol/src/burdockquay_protocol/_errors.py
+++ b/packages/burdockquay-protocol/src/burdockquay_protocol/_errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, and the table from kind to answer."""
+"""The fixed set of error kinds and the answer sent for each."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class RunState(enum.Enum):
-    """What a caller is told about whether its request had an effect."""
+    """Whether a request ran, as reported to its caller."""
 
     NOT_RUN = "not_run"
-    """The request certainly did not run and never will."""
+    """The request did not run and never will."""
     UNKNOWN = "unknown"
     """The request may have run, or may still run."""
     RAN = "ran"
@@ -19,7 +19,7 @@
 
 
 class ErrorKind(enum.Enum):
-    """Every reason for which a request is refused or fails; the list is closed."""
+    """Reason for which a request was refused or failed; the set is fixed."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Answer:
-    """How one error kind is answered.
+    """Answer sent for one error kind.
 
     Parameters
     ----------
@@ -61,9 +61,9 @@
     text : str
         Sentence for the caller.
     run : RunState
-        What is true of every request answered so, unless the error says otherwise.
+        Applies to every request with this error kind, unless the error overrides it.
     retry_after_s : float or None
-        Seconds after which a repeat makes sense, None where a repeat does not help.
+        Seconds after which the caller may retry, None where a retry does not help.
     """
 
     status: int
@@ -128,22 +128,22 @@
     ),
     ErrorKind.INTERNAL: Answer(500, "An internal error occurred.", _UNKNOWN),
 }
-"""The answer to each error kind; a test holds that every kind has one."""
+"""The answer to each error kind; a test checks that every kind has one."""
 
 
 @attrs.frozen
 class RequestError:
-    """Why one request was refused or failed.
+    """Error with which one request was refused or failed.
 
     Parameters
     ----------
     kind : ErrorKind
     detail : str
-        What was expected and what was got; shown to the caller.
+        What was expected and what was received; shown to the caller.
     run : RunState or None
-        Overrides the table where more is known of this request.
+        Overrides the value of :data:`ANSWERS` where more is known about this request.
     retry_after_s : float or None
-        Overrides the table.
+        Overrides the value of :data:`ANSWERS`.
     """
 
     kind: ErrorKind
@@ -153,7 +153,7 @@
 
     @property
     def answer(self) -> Answer:
-        """The table's answer with what this error knows better."""
+        """The answer of :data:`ANSWERS` with the overrides of this error."""
         row = ANSWERS[self.kind]
         return attrs.evolve(
             row,
--- a/packages/burdockquay-protocol/src/burdockquay_protocol/_forwarder_messages.py
+++ b/packages/burdockquay-protocol/src/burdockquay_protocol/_forwarder_messages.py
@@ -1,4 +1,4 @@
-"""The messages between forwarders: what each has at the upstreams, crashes, platform tables."""
+"""Messages between forwarders: loads and outcomes at upstreams, crashes, platform tables."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class PromptPart:
-    """Part of a prompt that many requests may share.
+    """Part of a prompt that several requests may share.
 
     Parameters
     ----------
@@ -23,18 +23,18 @@
 
 @attrs.frozen
 class UpstreamLoad:
-    """What one forwarder has at one upstream.
+    """Load that one or more forwarders have at one upstream.
 
     Parameters
     ----------
     upstream : str
         Incarnation of the upstream.
     prompt_tokens : int
-        Prompt tokens whose first answer token has not come.
+        Prompt tokens of requests whose first answer token has not arrived.
     running : int
-        Requests.
+        Number of requests in progress.
     parts : list of PromptPart
-        Prompt parts that were sent there since the last message.
+        Prompt parts sent to the upstream since the last message.
     """
 
     upstream: str
@@ -46,7 +46,7 @@
 @message(30, since=3)
 @attrs.frozen
 class UpstreamLoads:
-    """All that a forwarder has at upstreams now; one that is not named has nothing of it."""
+    """Complete current load of one forwarder; it has no requests at an upstream not listed."""
 
     loads: list[UpstreamLoad]
 
@@ -54,13 +54,13 @@
 @message(34, since=5)
 @attrs.frozen
 class LoadsOfDomain:
-    """What the forwarders of a failure domain together have at upstreams now.
+    """Current load of all forwarders of a failure domain together.
 
     Parameters
     ----------
     domain : str
     is_whole : bool
-        Whether they have nothing at an upstream that is not named; otherwise nothing changed there.
+        Whether the load at an upstream that is not listed is zero; otherwise it is unchanged.
     loads : list of UpstreamLoad
     """
 
@@ -72,7 +72,7 @@
 @message(35, since=5)
 @attrs.frozen
 class LoadsElsewhere:
-    """What all other forwarders together have at upstreams, as a relay adds it up for the receiver.
+    """Current load of all other forwarders together, as a relay sums it for the receiver.
 
     Parameters
     ----------
@@ -87,18 +87,18 @@
 
 @attrs.frozen
 class UpstreamOutcome:
-    """What became of some requests at one upstream.
+    """Outcome counts of requests at one upstream.
 
     Parameters
     ----------
     upstream : str
         Incarnation of the upstream.
     whole : int
-        Whole answers.
+        Complete answers.
     failed : int
-        Answers that failed or broke off, and connections that did not come about.
+        Answers that failed or were interrupted, and connections that could not be opened.
     unreachable : int
-        How many of these were refused, reset at once or silent.
+        Number of ``failed`` in which the connection was refused, reset at once or got no response.
     """
 
     upstream: str
@@ -110,7 +110,7 @@
 @message(36, since=5)
 @attrs.frozen
 class UpstreamOutcomes:
-    """What became of requests since the last message, of the sender or of those it relays for."""
+    """Outcomes since the last message, of the sender or of the forwarders that it relays for."""
 
     outcomes: list[UpstreamOutcome]
 
@@ -118,7 +118,7 @@
 @message(31, since=3)
 @attrs.frozen
 class UpstreamCrash:
-    """An upstream went down while a forwarder's requests ran there.
+    """Report that an upstream crashed while requests of the forwarder ran on it.
 
     Parameters
     ----------
@@ -135,14 +135,14 @@
 @message(32, since=4)
 @attrs.frozen
 class KeysHonoured:
-    """Whether the configuration of a forwarder is recent enough to honour API keys."""
+    """Whether the configuration of a forwarder is recent enough to accept API keys."""
 
     honoured: bool
 
 
 @attrs.frozen
 class ChangedRow:
-    """A row of one of the platform's tables.
+    """Row of one of the platform's tables.
 
     Parameters
     ----------
@@ -150,7 +150,7 @@
     value : bytes or None
         None if the row was removed.
     revision : int
-        Counter of the platform's transactions at its last change.
+        Value of the platform's transaction counter at the last change of the row.
     """
 
     key: str
@@ -161,9 +161,9 @@
 @message(33, since=5)
 @attrs.frozen
 class EralessTableChanges:
-    """What the platform told the sender of a table, of a release that knows no eras.
+    """Changes of a platform table, from a process of a release without eras.
 
-    See :class:`TableChanges`. It is of use only while the platform's store names no era.
+    See :class:`TableChanges`. They can be applied only while the platform's store reports no era.
     """
 
     table: str
@@ -174,7 +174,7 @@
     rows: list[ChangedRow]
 
     def in_first_era(self) -> TableChanges:
-        """Return the same news as of a store that names no era."""
+        """Return the same changes as those of a store that reports no era."""
         return TableChanges(
             self.table, 0, self.after, self.upto, self.store_s, self.steady_s, self.rows
         )
@@ -183,23 +183,23 @@
 @message(37, since=6)
 @attrs.frozen
 class TableChanges:
-    """What the platform told the sender of a table.
+    """Changes of a platform table, as the sender received them from the platform.
 
     Parameters
     ----------
     table : str
     era : int
-        Of the platform's store; the revisions and ``store_s`` hold in this era only. 0 where the
-        store names none.
+        Era of the platform's store; the revisions and ``store_s`` are valid in this era only. 0 if
+        the store reports none.
     after, upto : int
-        ``rows`` are all that changed behind the one revision up to the other, the whole table where
-        ``after`` is 0. If both are the same, the sender leaves out what changed before, and a
-        process that does not know it asks.
+        ``rows`` holds all changes after the first revision, up to and including the second one; it
+        is the complete table if ``after`` is 0. If both are equal, the sender leaves out earlier
+        changes, and a process that has not received them requests them.
     store_s : float
-        A moment as of which this was all, on the platform's own steady clock, seconds. A message
-        may be late by any time: this moment stays true.
+        Time as of which ``rows`` was complete, on the platform's monotonic clock, seconds. It is
+        valid however late the message arrives.
     steady_s : float
-        Time since the last question of the sender that the platform did not answer, seconds.
+        Time since the last request of the sender that the platform did not answer, seconds.
     rows : list of ChangedRow
     """
 
@@ -212,7 +212,7 @@
     rows: list[ChangedRow]
 
     def without_era(self) -> EralessTableChanges:
-        """Return the same news for a process of a release that knows no eras."""
+        """Return the same changes for a process of a release without eras."""
         return EralessTableChanges(
             self.table, self.after, self.upto, self.store_s, self.steady_s, self.rows
         )
@@ -221,6 +221,6 @@
 @message(38, since=6)
 @attrs.frozen
 class NewestConfiguration:
-    """The highest version of the configuration that is known to be in force at some process."""
+    """The highest configuration version known to be active at any process."""
 
     version: int
--- a/packages/burdockquay-protocol/src/burdockquay_protocol/_handshake.py
+++ b/packages/burdockquay-protocol/src/burdockquay_protocol/_handshake.py
@@ -1,4 +1,4 @@
-"""The keyed handshake by which an entry and a slot prove to each other that they hold the key."""
+"""Handshake in which an entry and a slot prove to each other that they hold the shared key."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from collections.abc import Sequence
 
 NONCE_BYTES = 16
-"""Length of the challenge in a handshake."""
+"""Length of the nonce in a handshake, bytes."""
 
 
 def choose_version(ours: Sequence[int], theirs: Sequence[int]) -> int | None:
-    """Return the highest common protocol version, None if there is none.
+    """Return the highest protocol version that both sides support, None if there is none.
 
     Examples
     --------
@@ -26,21 +26,21 @@
 def make_proof(
     key: bytes, side: str, vm: str, incarnation: str, own_nonce: bytes, other_nonce: bytes
 ) -> bytes:
-    """Return the keyed digest that one side sends.
+    """Return the HMAC-SHA256 digest that one side sends as its proof.
 
     Parameters
     ----------
     key : bytes
         Shared key from the settings.
     side : str
-        ``"entry"`` or ``"slot"``; keeps one side's proof from being sent back by the other.
+        ``"entry"`` or ``"slot"``; prevents a peer from reflecting the other side's proof.
     vm, incarnation : str
-        Identity that is proved.
+        Identity of the side that sends the proof.
     own_nonce, other_nonce : bytes
-        Challenges of this handshake, which keep an old proof from being used again.
+        Nonces of this handshake, which prevent the replay of an earlier proof.
     """
     parts = (side.encode(), vm.encode(), incarnation.encode(), own_nonce, other_nonce)
-    # Each part goes in with its length, so that no two lists of parts give the same bytes.
+    # Each part is prefixed with its length, so that different parts never give the same bytes.
     text = b"".join(len(part).to_bytes(4, "big") + part for part in parts)
     return hmac.new(key, text, hashlib.sha256).digest()
 
@@ -54,6 +54,6 @@
     own_nonce: bytes,
     other_nonce: bytes,
 ) -> bool:
-    """Return whether ``proof`` is what the other side must send; takes constant time."""
+    """Return whether ``proof`` is the expected one; the comparison takes constant time."""
     expected = make_proof(key, side, vm, incarnation, own_nonce, other_nonce)
     return hmac.compare_digest(proof, expected)
--- a/packages/burdockquay-protocol/src/burdockquay_protocol/_messages.py
+++ b/packages/burdockquay-protocol/src/burdockquay_protocol/_messages.py
@@ -1,8 +1,8 @@
-"""The messages between the processes: entry and slot.
+"""Messages between entries and slots.
 
 An entry opens the connection. ``Hello``, ``Welcome`` and ``Proof`` authenticate both sides and
-agree on a protocol version; every later message is one of the types registered by
-:func:`message`. On the wire a message is a CBOR array: its type number, then its fields in order.
+agree on a protocol version. Every message class is registered with :func:`message`. On the wire
+a message is a CBOR array: its type number, then its fields in order.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from ._errors import ErrorKind
 
 PROTOCOL_VERSIONS = (1, 2, 3, 4, 5, 6)
-"""Protocol versions that this release speaks; version 2 adds :class:`Suspicions`, version 3 the
+"""Protocol versions that this release supports; version 2 adds :class:`Suspicions`, version 3 the
 messages between forwarders, version 4 :class:`KeysHonoured`, version 5
 :class:`EralessTableChanges`, :class:`LoadsOfDomain`, :class:`LoadsElsewhere` and
 :class:`UpstreamOutcomes`, version 6 :class:`TableChanges` and :class:`NewestConfiguration`."""
 
 message_types: dict[int, type] = {}
-"""The class of each type number."""
+"""Message class by type number."""
 
 
 def message(number: int, since: int = 1) -> Callable[[type], type]:
@@ -31,14 +31,14 @@
     Parameters
     ----------
     number : int
-        Type number on the wire, never used again for another message.
+        Type number on the wire; must never be reused for another message.
     since : int
-        First protocol version that knows the message.
+        First protocol version that has the message.
     """
 
     def add(cls: type) -> type:
         if number in message_types:
-            raise ValueError(f"message number {number} is registered already")
+            raise ValueError(f"message number {number} is already registered")
         cls.number = number
         cls.since = since
         message_types[number] = cls
@@ -55,12 +55,12 @@
     Parameters
     ----------
     versions : list of int
-        Protocol versions the sender speaks.
+        Protocol versions that the sender supports.
     vm, failure_domain : str
     incarnation : str
-        Drawn anew by each process at its start.
+        Random identifier that each process generates at its start.
     nonce : bytes
-        Challenge to the other side.
+        Challenge for the other side.
     """
 
     versions: list[int]
@@ -80,9 +80,9 @@
     version : int
         The highest common protocol version.
     proof : bytes
-        Keyed digest over both nonces and the identities.
+        Keyed digest over both nonces and the identity; see :func:`make_proof`.
     group : str
-        Upstream group the slot serves.
+        Upstream group that the slot serves.
     """
 
     version: int
@@ -97,7 +97,7 @@
 @message(3)
 @attrs.frozen
 class Proof:
-    """The entry's keyed digest, which ends the handshake."""
+    """Keyed digest of the entry, which completes the handshake."""
 
     proof: bytes
 
@@ -105,26 +105,26 @@
 @message(4)
 @attrs.frozen
 class SlotStatus:
-    """State of a slot, sent after every change, at most once in a short interval.
+    """State of a slot, sent after every change but rate-limited to one per short interval.
 
     Parameters
     ----------
     places, running, queued : int
-        Places of the upstream, requests on it, requests waiting in the slot.
+        Concurrency limit of the upstream, requests that run on it, requests queued in the slot.
     protected_running : int
-        Of ``running``, those of protected classes.
+        Number of ``running`` that belong to protected classes.
     step_s : float
-        Recent time between two tokens of one answer on the upstream, seconds; 0 if unknown.
+        Recent time between two tokens of an answer from the upstream, seconds; 0 if unknown.
     first_token_s : float
         Recent time to the first token, seconds; 0 if unknown.
     healthy : bool
-        False while the slot's own probes of the upstream fail.
+        False while the health probes that the slot sends to the upstream fail.
     leaving : bool
-        True once the slot takes no new work.
+        True once the slot is draining and accepts no new requests.
     revision : int
-        Revision of the configuration in force there.
+        Revision of the configuration that is active at the slot.
     models : list of str
-        Models the upstream serves now; empty means those of the group's record.
+        Models that the upstream serves now; empty means those of the group record.
     """
 
     places: int
@@ -141,13 +141,14 @@
 
 @attrs.frozen
 class ClassDemand:
-    """How many requests of a class wait at an entry, and since when the oldest does.
+    """Number of requests of a class that wait at an entry, and the wait of the oldest.
 
     Parameters
     ----------
     class_name : str
     waiting : int
     oldest_wait_s : float
+        Seconds for which the oldest of them has waited.
     """
 
     class_name: str
@@ -158,7 +159,7 @@
 @message(5)
 @attrs.frozen
 class Demand:
-    """What waits at an entry for this slot; replaces the earlier message of the entry."""
+    """Requests that wait at an entry for this slot; replaces the previous message of the entry."""
 
     classes: list[ClassDemand]
 
@@ -166,15 +167,15 @@
 @message(6)
 @attrs.frozen
 class Grant:
-    """A place promised to the entry for one request of a class.
+    """Capacity that a slot reserves at its upstream for one request of a class of the entry.
 
     Parameters
     ----------
     grant : int
-        Number of the grant, unique at the slot.
+        Identifier of the grant, unique within the slot.
     class_name : str
     valid_s : float
-        How long the place is kept, seconds from now.
+        How long the reservation holds, seconds from now.
     """
 
     grant: int
@@ -185,7 +186,7 @@
 @message(7)
 @attrs.frozen
 class ReturnGrant:
-    """The entry has no use for the grant."""
+    """Return a grant that the entry does not need."""
 
     grant: int
 
@@ -193,7 +194,7 @@
 @message(8)
 @attrs.frozen
 class Run:
-    """Run one attempt of a request.
+    """Order to run one attempt of a request.
 
     Parameters
     ----------
@@ -205,16 +206,16 @@
         The grant used, 0 for none.
     organisation, class_name : str
     method, path : str
-        As they go to the upstream.
+        As they are sent to the upstream.
     headers : list of list of str
-        Pairs of name and value that are passed on.
+        Pairs of name and value that are forwarded to the upstream.
     body : bytes
     stream : bool
         Whether the caller asked for a stream.
     deadline_s : float
         Seconds from now until the request must have ended.
     idempotent : bool
-        False: the slot writes a claim before it sends anything upstream.
+        False: the slot writes a claim before it sends anything to the upstream.
     key : str
         Idempotency key; empty for idempotent requests without one.
     expected_version : int
@@ -222,12 +223,13 @@
     digest : str
         Digest of organisation, method, path and body.
     resume_text : list of str
-        Tokens that the caller has already got; the engine goes on behind them.
+        Tokens that the caller has already received; the engine continues after them.
     apart : bool
-        Suspected of crashing upstreams: must run beside no other suspect.
+        Whether the request is suspected of crashing upstreams and so must not run concurrently
+        with another suspect.
     started_at : float
-        When the request arrived at the entry, seconds since the epoch. A slot that was paused
-        for long finds by it that a buffered message is too old to be acted on; 0 counts from
+        When the request arrived at the entry, seconds since the epoch. With it, a slot that was
+        paused for long detects that a buffered message is too old to be executed; 0 counts from
         the arrival at the slot.
     """
 
@@ -254,7 +256,7 @@
 @message(9)
 @attrs.frozen
 class Cancel:
-    """Stop an attempt; what it still sends is dropped."""
+    """Stop an attempt; frames that it still sends are dropped."""
 
     request: str
     attempt: int
@@ -262,18 +264,18 @@
 
 @attrs.frozen
 class Frame:
-    """A piece of an answer.
+    """Chunk of an answer.
 
     Parameters
     ----------
     request : str
     attempt : int
     sequence : int
-        Position in the answer from 0; the last frame carries the number of frames before it.
+        Position in the answer from 0; that of the last frame is the number of frames before it.
     part : int
         One of the ``PART_`` constants.
     data : bytes
-        Token text, a piece of a body, or an encoded :class:`AnswerHead` or :class:`AnswerEnd`.
+        Token text, a chunk of a body, or an encoded :class:`AnswerHead` or :class:`AnswerEnd`.
     """
 
     request: str
@@ -288,14 +290,14 @@
 PART_TOKEN = 1
 """Frame with the text of one or more generated tokens."""
 PART_BODY = 2
-"""Frame with a piece of the body of a plain answer."""
+"""Frame with a chunk of the body of a plain answer."""
 PART_END = 3
 """Last frame, with an :class:`AnswerEnd`."""
 
 
 @attrs.frozen
 class AnswerHead:
-    """Status and headers of an upstream's answer."""
+    """Status and headers of the answer of an upstream."""
 
     status: int
     headers: list[list[str]]
@@ -303,12 +305,12 @@
 
 @attrs.frozen
 class AnswerEnd:
-    """End of a whole answer.
+    """End of a complete answer.
 
     Parameters
     ----------
     prompt_tokens, generated_tokens : int
-        Tokens counted by the upstream; 0 for plain services.
+        Token counts reported by the upstream; 0 for plain services.
     finish_reason : str
     """
 
@@ -320,7 +322,7 @@
 @message(10)
 @attrs.frozen
 class Frames:
-    """Pieces of all answers that one slot has for one entry at this moment."""
+    """Batch of the frames that one slot currently has for one entry, of all answers."""
 
     frames: list[Frame]
 
@@ -328,13 +330,13 @@
 @message(11)
 @attrs.frozen
 class NotRun:
-    """The attempt did not run and never will; the slot says so with authority.
+    """Authoritative report of a slot that an attempt did not run and never will.
 
     Parameters
     ----------
     kind : ErrorKind
     row_version : int
-        With ``CLAIM_LOST``: version of the claim row that was found, else 0.
+        With ``CLAIM_LOST``: version of the claim row that was found; otherwise 0.
     """
 
     request: str
@@ -347,13 +349,13 @@
 @message(12)
 @attrs.frozen
 class Failed:
-    """The attempt was sent upstream and failed, or its fate is not known.
+    """Report that an attempt was sent to the upstream and failed, or that its outcome is unknown.
 
     Parameters
     ----------
     kind : ErrorKind
     crashed : bool
-        Whether the upstream itself went down, which makes what it ran suspect.
+        Whether the upstream itself crashed, which makes the requests that it ran suspects.
     """
 
     request: str
@@ -366,7 +368,7 @@
 @message(13)
 @attrs.frozen
 class Heartbeat:
-    """Sent on an idle connection; carries the revision of the configuration in force."""
+    """Keep-alive of an idle connection; carries the revision of the active configuration."""
 
     revision: int
 
@@ -374,7 +376,7 @@
 @message(14)
 @attrs.frozen
 class FetchLog:
-    """Ask a peer for the record log behind ``after_revision``."""
+    """Request for the entries of a peer's record log after ``after_revision``."""
 
     after_revision: int
 
@@ -384,16 +386,16 @@
 
 @attrs.frozen
 class Suspicion:
-    """Upstream crashes that happened while a request ran.
+    """Counts of the upstream crashes that happened while a request ran.
 
     Parameters
     ----------
     digest : str
         Digest of the request.
     crashes : int
-        Crashes at which it ran.
+        Crashes during which it ran.
     alone : int
-        Of those, crashes at which no other suspect ran.
+        Number of those crashes during which no other suspect ran.
     expires_at : float
         Seconds since the epoch.
     """
@@ -407,7 +409,7 @@
 @message(16, since=2)
 @attrs.frozen
 class Suspicions:
-    """Suspicions that the sender learned."""
+    """Suspicions that the sender has recorded or received."""
 
     suspicions: list[Suspicion]
 
@@ -420,7 +422,7 @@
     Parameters
     ----------
     reason : str
-        For the log.
+        Text for the log of the receiver.
     """
 
     reason: str
--- a/packages/burdockquay-protocol/src/burdockquay_protocol/tests/test_codec.py
+++ b/packages/burdockquay-protocol/src/burdockquay_protocol/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Every message goes through the codec unchanged, and nothing else does."""
+"""The codec round-trips every message and rejects all other bytes."""
 
 import attrs
 import cbor2
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("cls", message_types.values(), ids=lambda cls: cls.__name__)
 @given(data=st.data())
-def test_message_survives_the_wire(cls, data):
+def test_message_round_trips(cls, data):
     message = data.draw(st.from_type(cls))
     assert decode(encode(message), NEWEST).ok() == message
 
@@ -42,16 +42,16 @@
         ([10, 5], FaultKind.MALFORMED),
     ],
 )
-def test_fault_is_named(items, kind):
+def test_invalid_message_gives_its_fault_kind(items, kind):
     assert decode(cbor2.dumps(items), NEWEST).err().kind is kind
 
 
-def test_message_of_a_newer_version_is_refused():
+def test_message_of_a_newer_version_is_rejected():
     data = encode(protocol.Suspicions([]))
     assert decode(data, 1).err().kind is FaultKind.WRONG_VERSION
 
 
-def test_oversized_message_is_refused():
+def test_oversized_message_is_rejected():
     data = bytes(protocol.MAX_FRAME_BYTES + 1)
     assert decode(data, NEWEST).err().kind is FaultKind.OVERSIZED
 
--- a/packages/burdockquay-protocol/src/burdockquay_protocol/tests/test_handshake.py
+++ b/packages/burdockquay-protocol/src/burdockquay_protocol/tests/test_handshake.py
@@ -1,10 +1,10 @@
-"""The keyed handshake refuses every proof but the right one."""
+"""The handshake accepts only the proof made from the same key, identity and nonces."""
 
 import pytest
 
 from burdockquay_protocol import check_proof, make_proof
 
-RIGHT = {
+VALID = {
     "key": b"k" * 32,
     "side": "slot",
     "vm": "vm-1",
@@ -14,8 +14,8 @@
 }
 
 
-def test_right_proof_is_accepted():
-    assert check_proof(make_proof(**RIGHT), **RIGHT)
+def test_valid_proof_is_accepted():
+    assert check_proof(make_proof(**VALID), **VALID)
 
 
 @pytest.mark.parametrize(
@@ -29,5 +29,5 @@
         {"vm": "vm-1i", "incarnation": "-1"},
     ],
 )
-def test_proof_of_something_else_is_refused(change):
-    assert not check_proof(make_proof(**{**RIGHT, **change}), **RIGHT)
+def test_proof_of_other_inputs_is_rejected(change):
+    assert not check_proof(make_proof(**{**VALID, **change}), **VALID)
