--- a/packages/burdockquay-state/src/burdockquay_state/__init__.py
+++ b/packages/burdockquay-state/src/burdockquay_state/__init__.py
@@ -1,4 +1,4 @@
-"""What lasts: record kinds and schemas, the platform's interfaces, claims, leases, record log."""
+"""Persistent state: records and their schemas, platform interfaces, claims, leases, record log."""
 
 from ._lazy import lazy_exports
 
@@ -9,7 +9,7 @@
         "ClaimState",
         "StoredAnswer",
     ),
-    "._claim_memory": ("ClaimMemory",),
+    "._recent_claims": ("RecentClaims",),
     "._claim_restore": (
         "ClaimRestorer",
         "RestoreReport",
@@ -53,7 +53,7 @@
         "PutRefusal",
         "RecordChange",
         "RefusalKind",
-        "Winner",
+        "CompetingChange",
         "change_of",
     ),
     "._record_checks": (
--- a/packages/burdockquay-state/src/burdockquay_state/_claim_restore.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_claim_restore.py
@@ -1,4 +1,4 @@
-"""Writes the claims of this process again after the table returned from a copy."""
+"""Rewriting of the claims of this process after the table was restored from a copy."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from ._claims import ClaimStore, Rewrite
 from ._table import Row, TableError, TableErrorKind
 
-_KEYS_AT_ONCE = 500
+_KEYS_PER_READ = 500
 
 
 @attrs.frozen
 class RestoreReport:
-    """What became of the claims that a process remembered.
+    """Result of restoring the recent claims of a process.
 
     Parameters
     ----------
     era : int
-        Era of the table in which they stand now.
+        Era of the table in which the rows are now present.
     standing : int
-        Rows that the table had not lost.
+        Number of rows that the table had not lost.
     written : int
-        Rows written again.
+        Number of rows that were rewritten.
     taken : tuple of str
-        Row keys that another attempt holds by now, so that the request may run twice.
+        Keys of rows that another attempt has claimed meanwhile; their requests may run twice.
     """
 
     era: int
@@ -37,7 +37,7 @@
 
 
 class ClaimRestorer:
-    """Brings the remembered claims back into the table.
+    """Restores the recent claims of this process in the table.
 
     Parameters
     ----------
@@ -45,30 +45,30 @@
 
     Notes
     -----
-    The table may have lost the latest claims although their requests run. Until they stand again
-    a repeat of a key looks like its first request, so a slot writes them as soon as it learns of
-    the return, and others make no claims for a while.
+    The table may have lost the latest claims while their requests run. Until they are present
+    again, a retry with the same key looks like a first request. A slot therefore rewrites its
+    claims as soon as it detects the restore, and other processes make no claims for a while.
     """
 
     def __init__(self, claims: ClaimStore):
         self.claims = claims
 
     async def restore(self) -> Result[RestoreReport, TableError]:
-        """Write again what the table lacks; after an error the caller tries again."""
+        """Rewrite the rows that the table has lost; the caller retries after an error."""
         era = self.claims.table.era
         rows = self.claims.memory.newest_first()
         counts = dict.fromkeys(Rewrite, 0)
         taken: list[str] = []
-        for start in range(0, len(rows), _KEYS_AT_ONCE):
-            part = rows[start : start + _KEYS_AT_ONCE]
+        for start in range(0, len(rows), _KEYS_PER_READ):
+            part = rows[start : start + _KEYS_PER_READ]
             found = await self.claims.table.get([row_key for row_key, _ in part])
             if found.is_err():
                 return found
-            works = (
+            rewrites = (
                 self._restore_one(row_key, row, current)
                 for (row_key, row), current in zip(part, found.ok(), strict=True)
             )
-            for (row_key, _), result in zip(part, await asyncio.gather(*works), strict=True):
+            for (row_key, _), result in zip(part, await asyncio.gather(*rewrites), strict=True):
                 if result.is_err():
                     return result
                 counts[result.ok()] += 1
@@ -90,8 +90,8 @@
         done = await self.claims.write_again(row_key, row, decoded.ok())
         latest = self.claims.memory.get(row_key)
         while done.is_ok() and latest is not None and latest is not row:
-            # The outcome came meanwhile, and its own write may have met no row to replace.
+            # The outcome was recorded meanwhile, and its write may have found no row to replace.
             row = latest
-            done = await self.claims.read_and_write_again(row_key, row)
+            done = await self.claims.read_and_rewrite(row_key, row)
             latest = self.claims.memory.get(row_key)
         return done
--- a/packages/burdockquay-state/src/burdockquay_state/_claim_sweep.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_claim_sweep.py
@@ -17,22 +17,24 @@
 START_LIMIT_S = 3600.0
 """Longest time between the arrival of a request and the start of one of its attempts, seconds.
 
-After it a slot sends no attempt, and an entry no longer says of a request that it was not run.
+Later, a slot sends no attempt and an entry no longer reports a request as not run.
 """
 
 MIN_RETENTION_S = 2 * START_LIMIT_S
-"""Shortest retention of claims, seconds: the clocks of the VMs may differ by the rest."""
+"""Shortest retention of claims, seconds; the excess over the limit allows for clock differences
+between VMs."""
 
 
 @attrs.frozen
 class SweepPage:
-    """What one page of a sweep did.
+    """Result of one page of a sweep.
 
     Parameters
     ----------
     seen, deleted : int
+        Numbers of rows scanned and deleted.
     after : str
-        Key behind which the next page starts; empty at the end of the sweep.
+        Key after which the next page starts; empty at the end of the sweep.
     """
 
     seen: int
@@ -41,7 +43,7 @@
 
 
 class ClaimSweep:
-    """Delete the claim rows that are older than the retention.
+    """Deletes claim rows that are older than the retention time.
 
     Parameters
     ----------
@@ -50,19 +52,20 @@
     retention_s : float
         How long the outcome of a key is kept, seconds.
     page : int
-        Rows in one scan.
+        Number of rows per scan.
 
     Notes
     -----
-    Once a row is gone, an attempt that expects no row could claim again, and an entry that asks
-    would find that nothing ran. Both refuse to act later than ``START_LIMIT_S`` after the request
-    arrived, and the retention is at least twice as long.
+    After a row is deleted, an attempt that expects no row could claim again, and an entry that
+    reads the key would conclude that nothing ran. Slots and entries therefore refuse to act later
+    than ``START_LIMIT_S`` after the request arrived, and the retention is at least twice as long.
 
-    The claims of orders stay: a record may be in force for longer than any retention, and its order
-    would be given again.
+    Claims of orders are never deleted: a record may be in force for longer than any retention time,
+    and its order would then be executed again.
 
-    A row in state ``RUNNING`` has no such end: its slot may be paused right before it sends. It
-    stays until the caller of the sweep knows that the slot's process is gone for ever.
+    Age alone does not expire a row in state ``RUNNING``, because its slot may be paused right
+    before it sends the request. The row is kept until the caller of the sweep knows that the
+    process of the slot has ended for good.
     """
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {
@@ -86,14 +89,15 @@
     async def sweep_page(
         self, after: str, may_act: Callable[[str], bool], now: float
     ) -> Result[SweepPage, TableError]:
-        """Go through one page of rows.
+        """Scan one page of rows and delete those that have expired.
 
         Parameters
         ----------
         after : str
-            Where the last page ended, empty to start.
+            :attr:`SweepPage.after` of the previous page; empty to start.
         may_act : callable
-            Takes the incarnation of a slot; False only if that process is gone for ever.
+            Called with the incarnation of a slot; returns False only if that process has ended for
+            good.
         now : float
             Seconds since the epoch.
         """
--- a/packages/burdockquay-state/src/burdockquay_state/_claims.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_claims.py
@@ -1,4 +1,4 @@
-"""Claims: who may run a request that must run at most once, decided by one table row per key."""
+"""Claims: the exclusive right to run an at-most-once request, held in one table row per key."""
 
 from __future__ import annotations
 
@@ -7,7 +7,6 @@
 import attrs
 from result import Err, Ok, Result
 
-from ._claim_memory import ClaimMemory
 from ._claim_rows import (
     ClaimRow,
     ClaimState,
@@ -20,30 +19,32 @@
     encode_row,
 )
 from ._group_commit import GroupCommitter
+from ._recent_claims import RecentClaims
 from ._table import ABSENT, ObjectStore, Put, TableError, TableErrorKind, TableService
 from ._versions import era_of
 
-WRITE_TRIES = 3
-"""How often one conditional write goes out while its confirmations are lost."""
+WRITE_ATTEMPTS = 3
+"""Attempts to send one conditional write while its confirmations are lost."""
 
 INLINE_BYTES = 4096
-"""Largest encoded answer that a row keeps itself, bytes."""
+"""Largest encoded answer that is stored in the row itself, bytes."""
 
 
 @attrs.frozen
 class ClaimRequest:
-    """The wish of a slot to run one attempt.
+    """Request of a slot for the claim to run one attempt.
 
     Parameters
     ----------
     organisation, key : str
-        Whose idempotency key it is, and the key.
+        The idempotency key and the organisation to which it belongs.
     expected_version : int
-        Version of the row that the attempt may replace, that of a missing row for none.
+        Version of the row that the attempt may replace; the version of a missing row if there must
+        be none.
     attempt : int
         Number of the attempt within its request.
     attempt_id : str
-        Never used twice by the incarnation.
+        Identifier that the incarnation uses only once.
     incarnation : str
         Incarnation of the slot.
     digest : str
@@ -64,7 +65,7 @@
 
 @attrs.frozen
 class Claim:
-    """The right to send one attempt upstream, once.
+    """Right to send one attempt to the upstream, once.
 
     Parameters
     ----------
@@ -79,21 +80,21 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a claim was refused."""
+    """Reason why a claim was refused."""
 
     TAKEN = "taken"
-    """The row does not have the expected version, so this attempt can never claim."""
+    """The row does not have the expected version, so this attempt can never obtain the claim."""
     UNAVAILABLE = "unavailable"
-    """The table certainly wrote nothing."""
+    """The table did not write anything; this is certain."""
     UNCERTAIN = "uncertain"
-    """The claim may be written, now or later; it must be withdrawn."""
+    """The claim may have been written or may be written later; it must be withdrawn."""
     INVALID = "invalid"
-    """The table refused the write as malformed."""
+    """The table rejected the write as malformed."""
 
 
 @attrs.frozen
 class ClaimRefusal:
-    """A claim that was not confirmed. The attempt must not be sent.
+    """Refused or unconfirmed claim; the attempt must not be sent.
 
     Parameters
     ----------
@@ -105,7 +106,7 @@
     detail: str = ""
 
 
-_REASONS = {
+_REFUSAL_REASONS = {
     TableErrorKind.CONFLICT: RefusalReason.TAKEN,
     TableErrorKind.UNAVAILABLE: RefusalReason.UNAVAILABLE,
     TableErrorKind.UNCERTAIN: RefusalReason.UNCERTAIN,
@@ -114,29 +115,29 @@
 
 
 class Rewrite(enum.Enum):
-    """What became of a row that was to be written again."""
+    """Outcome of the attempt to rewrite a row."""
 
     STANDING = "standing"
-    """The table still has it, or nothing that it would have to replace."""
+    """The table still has the row, or has nothing that the row would need to replace."""
     WRITTEN = "written"
     TAKEN = "taken"
-    """Another attempt holds the key."""
+    """Another attempt has claimed the key."""
 
 
-_WORTH_READING = {TableErrorKind.CONFLICT, TableErrorKind.UNCERTAIN}
-"""Errors of a write after which the row may have changed."""
+_POSSIBLY_CHANGED = {TableErrorKind.CONFLICT, TableErrorKind.UNCERTAIN}
+"""Errors of a write after which the row may have changed and must be read."""
 
 
 @attrs.frozen
 class CancelOutcome:
-    """What a cancellation found.
+    """Result of a cancellation.
 
     Parameters
     ----------
     cancelled : bool
-        Whether the row is cancelled now: the attempts for the expected version never start.
+        Whether the row is now cancelled, so that no attempt for the expected version ever starts.
     row : ClaimRow
-        The row now; its version is the one that the next attempt may replace.
+        The current row; its version is the one that the next attempt may replace.
     """
 
     cancelled: bool
@@ -144,32 +145,32 @@
 
 
 class ClaimStore:
-    """Claims in the platform's table.
+    """Claims stored in the platform's table.
 
     Parameters
     ----------
     table : TableService
     objects : ObjectStore
-        Keeps the answers that are too large for a row.
+        Stores answers that are too large for a row.
     committer : GroupCommitter, optional
-        Shares transactions between the writes of this process; one of its own by default.
+        Batches the writes of this process into shared transactions; a new one by default.
     inline_bytes : int
-        Largest encoded answer that a row keeps itself, bytes.
-    memory : ClaimMemory, optional
-        Remembers the claims of this process; one of its own by default.
+        Largest encoded answer that is stored in the row itself, bytes.
+    memory : RecentClaims, optional
+        Cache of the recent claims of this process; a new one by default.
 
     Attributes
     ----------
     reads : int
-        Reads sent to the table.
+        Number of reads sent to the table.
 
     Notes
     -----
-    Each attempt carries the version of the row that it may replace. The slot's claim and the
-    entry's cancellation are conditional writes on that version, and each write gives the row a
-    version that it never had before. So exactly one of them takes effect, whoever comes late
-    finds the row changed, and an attempt that was cancelled can never claim, however long its
-    slot was paused.
+    Each attempt carries the version of the row that it may replace. The claim by the slot and the
+    cancellation by the entry are conditional writes on that version, and each write gives the row
+    a version that it never had before. Exactly one of them therefore takes effect, and the later
+    one finds the row changed. A cancelled attempt can never obtain the claim, however long its slot
+    was paused.
 
     Examples
     --------
@@ -191,17 +192,17 @@
         objects: ObjectStore,
         committer: GroupCommitter | None = None,
         inline_bytes: int = INLINE_BYTES,
-        memory: ClaimMemory | None = None,
+        memory: RecentClaims | None = None,
     ):
         self.table = table
         self.objects = objects
         self.committer = committer or GroupCommitter(table)
         self.inline_bytes = inline_bytes
-        self.memory = memory or ClaimMemory()
+        self.memory = memory or RecentClaims()
         self.reads = 0
 
     async def claim(self, request: ClaimRequest, now: float) -> Result[Claim, ClaimRefusal]:
-        """Claim the right to send an attempt.
+        """Claim the right to send one attempt.
 
         Parameters
         ----------
@@ -212,7 +213,7 @@
         Returns
         -------
         Result of Claim, ClaimRefusal
-            The row found is not read on a refusal: the entry reads it, once, for the answer.
+            A refusal does not read the conflicting row: the entry reads it once for the answer.
         """
         row = ClaimRow(
             state=ClaimState.RUNNING,
@@ -227,27 +228,27 @@
         written = await self._write(row_key, row, request.expected_version)
         if written.is_err():
             error = written.err()
-            return Err(ClaimRefusal(_REASONS[error.kind], error.detail))
+            return Err(ClaimRefusal(_REFUSAL_REASONS[error.kind], error.detail))
         row = attrs.evolve(row, version=written.ok())
         era = era_of(row.version)
         if era < self.table.era:
-            # Confirmed by a state of the table that is gone, and too late to be restored with the
-            # others. Nothing was sent yet, so it is withdrawn.
+            # The write was confirmed by a state of the table that no longer exists, and it came too
+            # late to be restored with the others. Nothing has been sent yet, so it is withdrawn.
             detail = "the table returned from a copy meanwhile"
             return Err(ClaimRefusal(RefusalReason.UNCERTAIN, detail))
-        self._remember(row_key, row)
+        self._record_row(row_key, row)
         self.memory.prune(era, now)
         return Ok(Claim(request.organisation, request.key, row))
 
     async def cancel(
         self, organisation: str, key: str, expected_version: int, digest: str, now: float
     ) -> Result[CancelOutcome, TableError]:
-        """Make sure that no attempt for ``expected_version`` can start any more.
+        """Ensure that no attempt for ``expected_version`` can start any more.
 
         Returns
         -------
         Result of CancelOutcome, TableError
-            The row as it is now. An error says nothing about whether an attempt may still start.
+            The current row. After an error it is unknown whether an attempt may still start.
         """
         row_key = claim_row_key(organisation, key)
         row = ClaimRow(
@@ -269,14 +270,14 @@
             return found
         if found.ok() is None or found.ok().version <= expected_version:
             # The row has expired since, or the read is older than the conflict. An old row could
-            # be a cancellation that an attempt has replaced: it must not count as "not run".
+            # be a cancellation that an attempt has since replaced; it must not count as "not run".
             return Err(TableError(TableErrorKind.CONFLICT, f"{row_key} cannot be read as it is"))
         return Ok(CancelOutcome(found.ok().state is ClaimState.CANCELLED, found.ok()))
 
     async def complete(
         self, claim: Claim, answer: StoredAnswer, now: float
     ) -> Result[None, TableError]:
-        """Record the answer of a claimed request; doing so again is harmless."""
+        """Store the answer of a claimed request; idempotent."""
         content = encode_answer(answer)
         row = attrs.evolve(claim.row, state=ClaimState.DONE, written_at=now)
         if len(content) <= self.inline_bytes:
@@ -289,18 +290,18 @@
         return await self._replace(claim, row)
 
     async def abandon(self, claim: Claim, now: float) -> Result[None, TableError]:
-        """Cancel a claim whose holder certainly did not send the request and never will."""
+        """Cancel a claim whose holder certainly has not sent the request and never will."""
         row = attrs.evolve(claim.row, state=ClaimState.CANCELLED, written_at=now)
         return await self._replace(claim, row)
 
     async def withdraw(self, request: ClaimRequest, now: float) -> Result[None, TableError]:
-        """Cancel a claim that may or may not be written; its holder never sends the request.
+        """Cancel a claim that may or may not have been written; its holder never sends the request.
 
         Notes
         -----
-        A claim whose confirmation was lost may take effect late. The key would then look as if
-        it ran, and each repeat would hear that the outcome is unknown. A cancellation of the
-        expected version makes the late claim fail; if the claim was first, it is abandoned.
+        A claim whose confirmation was lost may take effect late. The key would then look as if the
+        request ran, and each retry would be answered with an unknown outcome. A cancellation of the
+        expected version makes the late claim fail; if the claim came first, it is abandoned.
         """
         cancelled = await self.cancel(
             request.organisation, request.key, request.expected_version, request.digest, now
@@ -308,7 +309,8 @@
         if cancelled.is_err():
             is_final = cancelled.err().kind is TableErrorKind.CONFLICT
             if is_final and self.table.era > era_of(request.expected_version):
-                # The row is missing, and the claim holds in an earlier era only.
+                # The row is missing, and the claim expects a version of an earlier era, so it can
+                # no longer take effect.
                 return Ok(None)
             return cancelled
         row = cancelled.ok().row
@@ -320,7 +322,7 @@
     async def refresh(
         self, organisation: str, key: str, row: ClaimRow, now: float
     ) -> Result[ClaimRow, TableError]:
-        """Write a row that nobody runs again as it is, so that its retention starts anew."""
+        """Rewrite a row that no slot runs, unchanged, to restart its retention time."""
         fresh = attrs.evolve(row, written_at=now)
         written = await self._write(claim_row_key(organisation, key), fresh, row.version)
         if written.is_err():
@@ -332,7 +334,7 @@
         return await self._read_row(claim_row_key(organisation, key))
 
     async def load_answer(self, row: ClaimRow) -> Result[StoredAnswer, TableError]:
-        """Return the answer that a row in state ``DONE`` keeps."""
+        """Return the stored answer of a row in state ``DONE``."""
         if row.answer is not None:
             return decode_answer(row.answer)
         content = await self.objects.get(row.object_digest)
@@ -343,32 +345,30 @@
             return Err(TableError(TableErrorKind.INVALID, detail))
         return decode_answer(content.ok())
 
-    async def read_and_write_again(
-        self, row_key: str, row: ClaimRow
-    ) -> Result[Rewrite, TableError]:
-        """Write a row of this process again if the table has lost it."""
+    async def read_and_rewrite(self, row_key: str, row: ClaimRow) -> Result[Rewrite, TableError]:
+        """Read a row of this process, and rewrite it if the table has lost it."""
         found = await self._read_row(row_key)
         return found if found.is_err() else await self.write_again(row_key, row, found.ok())
 
     async def write_again(
         self, row_key: str, row: ClaimRow, current: ClaimRow | None
     ) -> Result[Rewrite, TableError]:
-        """Write a row of this process in place of ``current`` if the table has lost it.
+        """Replace ``current`` with a row of this process if the table has lost that row.
 
         Notes
         -----
-        Only an earlier state of the same attempt, a cancellation and nothing at all are replaced.
-        A row of another attempt may be a claim of the present era, under which a request runs.
+        Only a missing row, a cancellation or an earlier state of the same attempt is replaced. A
+        row of another attempt may be a claim of the current era, under which a request runs.
         """
-        for _ in range(WRITE_TRIES):
-            known = _judge_current(row, current)
-            if known is not None:
-                return Ok(known)
+        for _ in range(WRITE_ATTEMPTS):
+            outcome = _classify_current_row(row, current)
+            if outcome is not None:
+                return Ok(outcome)
             version = current.version if current else self.table.absent
             written = await self.committer.write(Put(row_key, encode_row(row), version))
             if written.is_ok():
                 return Ok(Rewrite.WRITTEN)
-            if written.err().kind not in _WORTH_READING:
+            if written.err().kind not in _POSSIBLY_CHANGED:
                 return Err(written.err())
             found = await self._read_row(row_key)
             if found.is_err():
@@ -376,66 +376,66 @@
             current = found.ok()
         return Err(TableError(TableErrorKind.UNCERTAIN, f"{row_key}: not written again"))
 
-    def _remember(self, row_key: str, row: ClaimRow) -> None:
+    def _record_row(self, row_key: str, row: ClaimRow) -> None:
         if self.table.era:
-            self.memory.remember(row_key, row)
+            self.memory.record_row(row_key, row)
 
     async def _replace(self, claim: Claim, row: ClaimRow) -> Result[None, TableError]:
         row_key = claim_row_key(claim.organisation, claim.key)
-        self._remember(row_key, row)
+        self._record_row(row_key, row)
         written = await self._write(row_key, row, claim.row.version)
         if written.is_ok():
             return Ok(None)
         is_conflict = written.err().kind is TableErrorKind.CONFLICT
         if not is_conflict or self.table.era == era_of(claim.row.version):
             return Err(written.err())
-        again = await self.read_and_write_again(row_key, row)
-        if again.is_ok() and again.ok() is Rewrite.TAKEN:
+        rewritten = await self.read_and_rewrite(row_key, row)
+        if rewritten.is_ok() and rewritten.ok() is Rewrite.TAKEN:
             return Err(TableError(TableErrorKind.CONFLICT, f"{row_key}: another attempt holds it"))
-        return again.map(lambda _: None)
+        return rewritten.map(lambda _: None)
 
     async def _write(
         self, row_key: str, row: ClaimRow, expected_version: int
     ) -> Result[int, TableError]:
-        """Write a row where it has the expected version, and find out whether that happened.
+        """Write a row if it has the expected version, and determine whether the write took effect.
 
         Notes
         -----
-        A confirmation can be lost although the write took effect, or takes effect later. Taken
-        for a failure, a claim would stay behind without a holder; taken for a success, a request
-        would run that another process cancelled. So the row is read back: if it is ours, the
-        write counts; if it changed otherwise, ours can never take effect; if it is unchanged, the
-        same write goes out again, and whichever of the two arrives later fails.
+        A confirmation can be lost although the write took effect or takes effect later. If that
+        counted as a failure, a claim could remain without a holder. If it counted as a success, a
+        request could run that another process cancelled. The row is therefore read back. If it
+        holds this write, the write counts. If it changed otherwise, this write can never take
+        effect. If it is unchanged, the same write is sent again, and the later of the two fails.
         """
         operation = Put(row_key, encode_row(row), expected_version)
         unconfirmed = False
-        for _ in range(WRITE_TRIES):
+        for _ in range(WRITE_ATTEMPTS):
             written = await self.committer.write(operation)
             if written.is_ok():
                 return written
             unconfirmed = unconfirmed or written.err().kind is TableErrorKind.UNCERTAIN
             if not unconfirmed:
                 return written
-            known = await self._read_back(row_key, row, expected_version)
-            if known is not None:
-                return known
+            outcome = await self._read_back(row_key, row, expected_version)
+            if outcome is not None:
+                return outcome
         return Err(TableError(TableErrorKind.UNCERTAIN, f"{row_key}: no confirmation"))
 
     async def _read_back(
         self, row_key: str, row: ClaimRow, expected_version: int
     ) -> Result[int, TableError] | None:
-        """Return the outcome of an unconfirmed write, None if it must go out again."""
+        """Return the outcome of an unconfirmed write, None if it must be sent again."""
         found = await self._read_row(row_key)
         if found.is_err():
             return Err(TableError(TableErrorKind.UNCERTAIN, f"{row_key}: no confirmation"))
         current = found.ok()
         version = current.version if current else ABSENT
         if version <= expected_version:
-            # Unchanged, or a read from before the version that the write expects.
+            # Unchanged, or a stale read from before the expected version.
             return None
-        # A cancellation bears no name of its writer: after a return it may be an earlier one.
-        is_named = bool(row.attempt_id) or era_of(version) == era_of(expected_version)
-        if current is not None and is_named and current.is_same_write(row):
+        # A cancellation does not identify its writer; after a restore it may be an earlier one.
+        identifies_writer = bool(row.attempt_id) or era_of(version) == era_of(expected_version)
+        if current is not None and identifies_writer and current.is_same_write(row):
             return Ok(version)
         return Err(TableError(TableErrorKind.CONFLICT, f"{row_key} changed meanwhile"))
 
@@ -448,8 +448,8 @@
         return Ok(None) if row is None else decode_row(row)
 
 
-def _judge_current(row: ClaimRow, current: ClaimRow | None) -> Rewrite | None:
-    """Return what a row in the table means for one to be written again, None to write it."""
+def _classify_current_row(row: ClaimRow, current: ClaimRow | None) -> Rewrite | None:
+    """Return the outcome of a rewrite given the current row, None if it must be written."""
     if current is not None and current.is_same_write(row):
         return Rewrite.STANDING
     is_own = current is not None and current.is_of_attempt(row)
--- a/packages/burdockquay-state/src/burdockquay_state/_faulty.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_faulty.py
@@ -1,4 +1,4 @@
-"""A table in memory whose faults a test switches on and off."""
+"""In-memory table with injectable faults, for tests."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 
 class FaultyTable(MemoryTable):
-    """Table that can be down, lose confirmations and answer reads with an older state.
+    """In-memory table that can be unavailable, lose confirmations and answer reads from old states.
 
     Attributes
     ----------
     down : bool
-        Every call fails as unavailable.
+        While True, every call fails as unavailable.
     lost_confirmations : list of bool
-        Taken from the front, one for each transaction: the call ends as uncertain, after having
-        taken effect (True) or without (False).
+        One item is consumed from the front per transaction: the call fails as uncertain, after it
+        took effect (True) or without effect (False).
     stale_reads : list of int
-        Taken from the front, one for each read: how many changes old the state is that answers.
+        One item is consumed from the front per read: the age of the state that is read, as a number
+        of changes.
 
     Examples
     --------
@@ -46,12 +47,12 @@
         self._states: deque[dict[str, Row]] = deque(maxlen=_STATES_KEPT)
 
     def return_to(self, copy: TableCopy) -> None:
-        """Forget all writes since the copy; no read shows an older state any more."""
+        """Restore the copy; later reads no longer show states from before the restore."""
         super().return_to(copy)
         self._states.clear()
 
     async def get(self, keys: Sequence[str]) -> Result[list[Row | None], TableError]:
-        """Return rows of the state that answers."""
+        """Return rows of the current state, or of an older one if a stale read is injected."""
         if self.down:
             return _unavailable()
         return await self._view().get(keys)
@@ -59,7 +60,7 @@
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[list[Row], TableError]:
-        """Return rows of the state that answers."""
+        """Return rows of the current state, or of an older one if a stale read is injected."""
         if self.down:
             return _unavailable()
         return await self._view().scan(prefix, after, limit)
@@ -67,7 +68,7 @@
     async def transact(
         self, operations: Sequence[Operation]
     ) -> Result[list[int | None], TableError]:
-        """Carry out all operations or none; writes are never made on an old state."""
+        """Carry out all operations or none; always on the current state."""
         if self.down:
             return _unavailable()
         takes_effect = self.lost_confirmations.pop(0) if self.lost_confirmations else None
--- a/packages/burdockquay-state/src/burdockquay_state/_group_commit.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: independent conditional writes of one process share transactions."""
+"""Group commit: batching of independent conditional writes into shared transactions."""
 
 from __future__ import annotations
 
@@ -15,47 +15,47 @@
 
 @attrs.define(eq=False)
 class _Write:
-    """A write that waits for its transaction, and the future that takes its outcome."""
+    """Write that waits for its transaction, and the future that receives its outcome."""
 
     operation: Operation
     outcome: asyncio.Future
 
     def resolve(self, result: Result[int | None, TableError]) -> None:
-        # The caller may have been cancelled meanwhile, which cancels the future and nothing else.
+        # A caller that was cancelled meanwhile has cancelled its future, but not the write.
         if not self.outcome.done():
             self.outcome.set_result(result)
 
 
 class GroupCommitter:
-    """Carry out writes that know nothing of each other in common transactions.
+    """Carries out independent writes in shared transactions.
 
-    A write that finds no transaction under way goes out at once. Writes that come while one is
-    under way wait and go out together, so that the delay grows only with the load.
+    A write is sent at once if no transaction is in progress. Writes that arrive during one wait and
+    are sent together, so that the delay grows only with the load.
 
     Parameters
     ----------
     table : TableService
     max_operations : int
-        Most writes in one transaction.
+        Maximum number of writes in one transaction.
     max_delay_s : float
-        Shortest time between the starts of two transactions, seconds, unless one is full. It
-        bounds the transactions a second of this process; 0 sets no bound.
+        Minimum time between the starts of two transactions, seconds, unless enough writes wait to
+        fill one. It limits the transactions per second of this process; 0 sets no limit.
 
     Attributes
     ----------
     writes : int
-        Transactions sent.
+        Number of transactions sent.
     operations : int
-        Writes asked for.
+        Number of writes requested.
 
     Notes
     -----
-    A transaction is carried out as a whole or not at all, so one write whose condition does not
-    hold would fail all others with it. The table names the positions that failed: those writes
-    are answered with the conflict, and the rest goes out again in one transaction.
+    Transactions are atomic, so one write whose condition does not hold would fail all others with
+    it. The table reports the indices of the failed writes. These are answered with the conflict,
+    and the rest is sent again in one transaction.
 
-    Two writes of one row never share a transaction. The table checks all conditions before it
-    writes, so both would be accepted, and two claims of one key would both count as won.
+    Two writes of the same row never share a transaction. The table checks all conditions before it
+    writes, so both would be accepted, and two claims of one key would both count as successful.
 
     Examples
     --------
@@ -96,13 +96,13 @@
         -------
         Result of int or None, TableError
             The new version of the row, None for a deletion. ``UNCERTAIN`` if the confirmation
-            of the transaction was lost: the caller reads its row back.
+            of the transaction was lost; the caller must then read its row back.
 
         Notes
         -----
-        A caller that is cancelled while it waits does not take its write back.
+        Cancelling a waiting caller does not revoke its write.
         """
-        assert not isinstance(operation, Check), "a check alone writes nothing"
+        assert not isinstance(operation, Check), "a Check is not a write"
         write = _Write(operation, asyncio.get_running_loop().create_future())
         self.operations += 1
         self._waiting.append(write)
@@ -114,26 +114,26 @@
 
     async def _run(self) -> None:
         while self._waiting:
-            group = self._take_group()
-            await asyncio.gather(self._commit(group), self._keep_distance())
+            group = self._pop_group()
+            await asyncio.gather(self._commit(group), self._wait_interval())
 
-    def _take_group(self) -> list[_Write]:
+    def _pop_group(self) -> list[_Write]:
         group: list[_Write] = []
         keys: set[str] = set()
-        left: deque[_Write] = deque()
+        remaining: deque[_Write] = deque()
         while self._waiting:
             write = self._waiting.popleft()
             if len(group) == self.max_operations or write.operation.key in keys:
-                left.append(write)
+                remaining.append(write)
                 continue
             keys.add(write.operation.key)
             group.append(write)
-        self._waiting = left
-        if len(left) < self.max_operations:
+        self._waiting = remaining
+        if len(remaining) < self.max_operations:
             self._full.clear()
         return group
 
-    async def _keep_distance(self) -> None:
+    async def _wait_interval(self) -> None:
         if self.max_delay_s == 0.0:
             return
         try:
@@ -155,12 +155,12 @@
         try:
             return await self.table.transact([write.operation for write in group])
         except Exception as error:
-            # An adapter that raises would end the runner and leave every caller of the group
-            # waiting for ever. Whether the table acted is not known then.
+            # Otherwise an adapter that raises would end the runner, and all callers of the group
+            # would wait forever. Whether the table carried out the transaction is then unknown.
             return Err(TableError(TableErrorKind.UNCERTAIN, f"{type(error).__name__}: {error}"))
 
     def _drop_failed(self, group: list[_Write], error: TableError) -> list[_Write]:
-        """Answer the writes that failed; return those that may go out again."""
+        """Resolve the failed writes; return those that may be sent again."""
         if error.kind is not TableErrorKind.CONFLICT or not error.conflicts:
             failed = set(range(len(group)))
         else:
--- a/packages/burdockquay-state/src/burdockquay_state/_lazy.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_lazy.py
@@ -1,4 +1,4 @@
-"""Exports of a package that are imported when they are first used."""
+"""Package exports that are imported on first use."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 def lazy_exports(
     package: str, exports: Mapping[str, Sequence[str]]
 ) -> tuple[Callable[[str], Any], Callable[[], list[str]], list[str]]:
-    """Return ``__getattr__``, ``__dir__`` and ``__all__`` of a package.
+    """Return ``__getattr__``, ``__dir__`` and ``__all__`` for a package.
 
-    A process that restarts takes no requests until its imports are done. One that needs a tenth of
-    a package should not wait for the rest: a forwarder starts in two thirds of the time.
+    A restarting process accepts no requests until its imports are done, and may need only a tenth
+    of a package. Lazy imports shorten the start of a forwarder to two thirds of the time.
 
     Parameters
     ----------
     package : str
         Name of the package.
     exports : mapping of str to sequence of str
-        Module to the names that come from it; a module that begins with a dot is in the package.
+        Names exported from each module; a leading dot makes a module relative to the package.
     """
-    homes = {name: module for module, names in exports.items() for name in names}
-    names = sorted(homes)
+    module_by_name = {name: module for module, names in exports.items() for name in names}
+    names = sorted(module_by_name)
 
     def get(name: str) -> Any:
-        if name not in homes:
+        if name not in module_by_name:
             raise AttributeError(f"module {package!r} has no attribute {name!r}")
-        value = getattr(importlib.import_module(homes[name], package), name)
+        value = getattr(importlib.import_module(module_by_name[name], package), name)
         setattr(sys.modules[package], name, value)
         return value
 
--- a/packages/burdockquay-state/src/burdockquay_state/_leases.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_leases.py
@@ -1,4 +1,4 @@
-"""Leases with fencing numbers, for what has one owner at a time."""
+"""Leases with fencing numbers, for tasks that one process at a time may carry out."""
 
 from __future__ import annotations
 
@@ -15,28 +15,29 @@
 LEASE_PREFIX = "lease/"
 """Prefix of the table keys of all leases."""
 
-HOLDER_PART = 0.8
-"""Part of a lease's duration for which its holder uses it."""
+HOLDER_USE_FRACTION = 0.8
+"""Fraction of the duration of a lease during which its holder uses it."""
 
 FENCING_ERA_SHIFT = 32
-"""Bits of a fencing number below its era; the whole stays exact as a JSON number."""
+"""Bits of a fencing number below its era; the complete number stays exact as a JSON number."""
 
 
 @attrs.frozen
 class Lease:
-    """A lease as its holder sees it.
+    """Lease as seen by its holder.
 
     Parameters
     ----------
     name, holder : str
     fencing : int
-        Grows with each change of the holder; goes with every order given under the lease. The era
-        of the table is its upper part, so that a row lost by the table gives no number out twice.
+        Increases with each change of the holder; sent with every order given under the lease. Its
+        upper part is the era of the table, so that no number is assigned twice after the table
+        has lost a row.
     renewal : int
-        Counts the writes of the row.
+        Number of writes of the row.
     duration_s : float
     usable_until : float
-        Time on the holder's own clock after which it must not use the lease.
+        Time on the clock of the holder from which on it must not use the lease.
     version : int
         Version of the row in the table.
     """
@@ -56,13 +57,13 @@
 
 @attrs.frozen
 class LeaseHeld:
-    """The lease was not obtained.
+    """Error for a lease that was not obtained.
 
     Parameters
     ----------
     name : str
     holder : str
-        Who holds it as far as is known; empty if that is not known.
+        Current holder; empty if unknown.
     detail : str
     """
 
@@ -80,7 +81,7 @@
     version: int = ABSENT
 
     @property
-    def is_of_present_era(self) -> bool:
+    def is_of_current_era(self) -> bool:
         """Whether the row was written in the era in which it was read."""
         return self.fencing >> FENCING_ERA_SHIFT == era_of(self.version)
 
@@ -89,35 +90,36 @@
 
 
 @attrs.frozen
-class _Sighting:
-    """A version of a lease row, and when this process first saw it."""
+class _ObservedVersion:
+    """Version of a lease row, and the time at which this process first read it."""
 
     version: int
-    since: float
+    first_read_at: float
 
 
 class LeaseStore:
-    """Leases in the platform's table.
+    """Leases stored in the platform's table.
 
     Parameters
     ----------
     table : TableService
     margin : float
-        Part of the duration that others wait on top of it before they take over.
+        Fraction of the duration that other processes wait in addition before they take over.
 
     Notes
     -----
-    The clocks of two VMs are never compared. An observer counts the duration on its own clock,
-    from the moment at which it first saw the row as it is; each renewal changes the row and
-    starts the count again. The holder counts from before its write and stops early.
+    The clocks of different VMs are never compared. An observer measures the duration on its own
+    clock, from the time at which it first read the current version of the row; each renewal changes
+    the row and restarts the measurement. The holder measures from before its write and stops early.
 
-    A holder may be paused and act after its lease has passed on. Expiry therefore only decides
-    who tries: each order carries the fencing number, by which an upstream that checks it refuses
-    the earlier holder, and where upstreams do not check it a claim row per order decides.
+    A paused holder may act after its lease has passed to another process. Expiry therefore only
+    decides who may try. Each order carries the fencing number, and an upstream that checks it
+    rejects the earlier holder. Where upstreams do not check it, one claim row per order decides.
 
-    A table that returned from a copy may have lost a change of the holder. A row of an earlier era
-    is therefore left alone for a whole duration, whoever it names, and so is a missing row by a
-    process that saw the return; a present holder takes its lease again at once.
+    A table that was restored from a copy may have lost a change of the holder. A row of an earlier
+    era is therefore not taken over for a complete duration, whichever holder it names. A process
+    that observed the restore treats a missing row in the same way. The current holder may obtain
+    its lease again at once.
 
     Examples
     --------
@@ -138,49 +140,49 @@
         self.table = table
         self.margin = margin
         check_parameters(self)
-        self._sightings: dict[str, _Sighting] = {}
+        self._observed_versions: dict[str, _ObservedVersion] = {}
         self._era = table.era
-        self._returned_at = -float("inf")
+        self._restored_at = -float("inf")
 
     def is_current(self, lease: Lease) -> bool:
-        """Return whether a lease is of the present era, as far as is known; others are void."""
+        """Return whether a lease is of the latest known era of the table; all others are void."""
         return era_of(lease.version) == self.table.era
 
     async def acquire(
         self, name: str, holder: str, duration_s: float, now: float
     ) -> Result[Lease, LeaseHeld]:
-        """Obtain a lease, or renew it if ``holder`` has it already.
+        """Obtain a lease, or renew it if ``holder`` already has it.
 
         Parameters
         ----------
         name : str
         holder : str
-            Incarnation of the process; a restarted process is another holder.
+            Incarnation of the process; a restarted process is a different holder.
         duration_s : float
         now : float
-            Seconds on the clock of this process.
+            Time on the clock of this process, seconds.
         """
         found = await self._read(name)
         if found.is_err():
             return Err(LeaseHeld(name, "", f"table: {found.err().kind.value}"))
         row = found.ok()
-        self._note_era(now)
+        self._record_era(now)
         if row is None:
-            if now - self._returned_at < duration_s * (1.0 + self.margin):
+            if now - self._restored_at < duration_s * (1.0 + self.margin):
                 return Err(LeaseHeld(name, "", "the table may have lost its holder"))
-            return await self._take(name, row, holder, duration_s, now)
-        is_free = row.holder in ("", holder) and row.is_of_present_era
-        if not is_free and not self._has_lapsed(name, row, now):
+            return await self._write_holder(name, row, holder, duration_s, now)
+        is_free = row.holder in ("", holder) and row.is_of_current_era
+        if not is_free and not self._has_expired(name, row, now):
             return Err(LeaseHeld(name, row.holder, "held"))
-        return await self._take(name, row, holder, duration_s, now)
+        return await self._write_holder(name, row, holder, duration_s, now)
 
     async def renew(self, lease: Lease, now: float) -> Result[Lease, LeaseHeld]:
-        """Prolong a lease; refused if anyone wrote the row since.
+        """Extend a lease; fails if the row was written since.
 
         Notes
         -----
-        After a return of the table the holder takes the lease again, under a new number. Nobody
-        else can have it before the duration that the holder counts is over.
+        After a restore of the table, the holder obtains the lease again under a new fencing number.
+        No other process can obtain it before the duration measured by the holder has passed.
         """
         wanted = _LeaseRow(lease.holder, lease.fencing, lease.renewal + 1, lease.duration_s)
         written = await self._write(lease.name, wanted, lease.version, now)
@@ -190,45 +192,45 @@
         if found.is_err():
             return Err(LeaseHeld(lease.name, "", f"table: {found.err().kind.value}"))
         row = found.ok()
-        if row is not None and row.is_of_present_era:
+        if row is not None and row.is_of_current_era:
             return Err(LeaseHeld(lease.name, row.holder, "held"))
-        return await self._take(lease.name, row, lease.holder, lease.duration_s, now)
+        return await self._write_holder(lease.name, row, lease.holder, lease.duration_s, now)
 
     async def release(self, lease: Lease) -> Result[None, LeaseHeld]:
-        """Give a lease up, so that the next holder need not wait for its expiry.
+        """Release a lease, so that the next holder need not wait for it to expire.
 
         Notes
         -----
-        The row stays, since it keeps the fencing number: a number that started again from 1 would
-        let a paused earlier holder pass for the present one.
+        The row is kept because it holds the fencing number. If numbers started again from 1, a
+        paused earlier holder could pass for the current one.
         """
         wanted = _LeaseRow("", lease.fencing, lease.renewal + 1, lease.duration_s)
         written = await self._write(lease.name, wanted, lease.version, now=0.0)
         return Ok(None) if written.is_ok() else Err(written.err())
 
-    def _note_era(self, now: float) -> None:
+    def _record_era(self, now: float) -> None:
         if self.table.era > self._era:
-            self._returned_at = now if self._era else self._returned_at
+            self._restored_at = now if self._era else self._restored_at
             self._era = self.table.era
 
-    async def _take(
+    async def _write_holder(
         self, name: str, row: _LeaseRow | None, holder: str, duration_s: float, now: float
     ) -> Result[Lease, LeaseHeld]:
         version = row.version if row else self.table.absent
         first = (era_of(version) << FENCING_ERA_SHIFT) + 1
         if row is None:
             return await self._write(name, _LeaseRow(holder, first, 1, duration_s), version, now)
-        keeps_number = row.holder == holder and row.is_of_present_era
+        keeps_number = row.holder == holder and row.is_of_current_era
         fencing = row.fencing if keeps_number else max(row.fencing + 1, first)
         wanted = _LeaseRow(holder, fencing, row.renewal + 1, duration_s)
         return await self._write(name, wanted, version, now)
 
-    def _has_lapsed(self, name: str, row: _LeaseRow, now: float) -> bool:
-        seen = self._sightings.get(name)
-        if seen is None or seen.version != row.version:
-            self._sightings[name] = _Sighting(row.version, now)
+    def _has_expired(self, name: str, row: _LeaseRow, now: float) -> bool:
+        observed = self._observed_versions.get(name)
+        if observed is None or observed.version != row.version:
+            self._observed_versions[name] = _ObservedVersion(row.version, now)
             return False
-        return now - seen.since >= row.duration_s * (1.0 + self.margin)
+        return now - observed.first_read_at >= row.duration_s * (1.0 + self.margin)
 
     async def _write(
         self, name: str, wanted: _LeaseRow, expected_version: int, now: float
@@ -240,8 +242,8 @@
             return Ok(self._make_lease(name, wanted, written.ok()[0], now))
         if written.err().kind is not TableErrorKind.UNCERTAIN:
             return Err(LeaseHeld(name, "", f"table: {written.err().kind.value}"))
-        # The confirmation was lost. The row tells whether the write took effect; if it did not
-        # yet, the lease counts as not obtained, and a late write only delays the next holder.
+        # The confirmation was lost. The row shows whether the write took effect. If it has not yet,
+        # the lease counts as not obtained, and a late write only delays the next holder.
         found = await self._read(name)
         row = found.ok() if found.is_ok() else None
         if row is not None and attrs.evolve(row, version=ABSENT) == wanted:
@@ -255,7 +257,7 @@
             fencing=row.fencing,
             renewal=row.renewal,
             duration_s=row.duration_s,
-            usable_until=now + row.duration_s * HOLDER_PART,
+            usable_until=now + row.duration_s * HOLDER_USE_FRACTION,
             version=version,
         )
 
--- a/packages/burdockquay-state/src/burdockquay_state/_log_entry.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_log_entry.py
@@ -1,4 +1,4 @@
-"""The record log as it travels: entries and parts of it."""
+"""Entries of the record log, and the parts in which they are sent to other processes."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 import attrs
 
 REVISION_ERA_SHIFT = 32
-"""Bits of a revision below the returns of the table; the whole stays exact as a JSON number."""
+"""Bits of a revision below the count of restores of the table; the complete number stays exact as
+a JSON number."""
 
 
 def lowest_revision(era: int) -> int:
-    """Return the number above which the revisions of an era of the table lie.
+    """Return the exclusive lower bound of the revisions in an era of the table.
 
     Examples
     --------
@@ -23,14 +24,14 @@
 
 @attrs.frozen
 class Fork:
-    """Where the log went on after the table had returned from a copy.
+    """Point at which the log continued after the table was restored from a copy.
 
     Parameters
     ----------
     kept : int
-        Last revision that the copy held.
+        Last revision in the copy.
     first : int
-        First revision accepted after the return; those between were lost.
+        First revision accepted after the restore; the revisions in between were lost.
     """
 
     kept: int
@@ -38,17 +39,17 @@
 
 
 def find_fork(forks: Sequence[Fork], revision: int) -> Fork | None:
-    """Return the first fork behind which a revision was lost, None if the log still leads to it."""
+    """Return the first fork at which a revision was lost, None if the log still contains it."""
     later = next((fork for fork in forks if revision < fork.first), None)
     return later if later is not None and revision > later.kept else None
 
 
-def step_back(revision: int, count: int, forks: Sequence[Fork]) -> int:
-    """Return the revision ``count`` changes before one; 0 or less if there are not so many.
+def revision_before(revision: int, count: int, forks: Sequence[Fork]) -> int:
+    """Return the revision ``count`` changes before another; 0 or less if there are fewer changes.
 
     Examples
     --------
-    >>> step_back(102, 3, [Fork(kept=7, first=101)])
+    >>> revision_before(102, 3, [Fork(kept=7, first=101)])
     6
     """
     for fork in reversed(forks):
@@ -62,7 +63,7 @@
 
 @attrs.frozen
 class LogEntry:
-    """One accepted change of the configuration.
+    """Accepted change of one record of the configuration.
 
     Parameters
     ----------
@@ -85,21 +86,21 @@
 
 @attrs.frozen
 class LogPart:
-    """Part of the record log, in order and without gaps behind ``after_revision``.
+    """Part of the record log, in order and without gaps after ``after_revision``.
 
     Parameters
     ----------
     after_revision : int
-        Revision the entries follow on.
+        Revision that precedes the entries.
     entries : list of LogEntry
     whole : bool
-        True if the entries are a whole configuration (the last entry of each record in force), for
-        a receiver that starts from nothing; they may then skip revisions.
+        True if the entries are a complete configuration (the last entry of each record in force),
+        for a receiver without any state; they may then skip revisions.
     head : int
-        The sender's revision.
+        Revision of the sender.
     forks : list of Fork
-        The forks of the log, in order. A whole configuration with forks also holds the
-        withdrawals since the first one, as entries without bodies.
+        The forks of the log, in order. A complete configuration with forks also contains the
+        withdrawals since the first fork, as entries without bodies.
     """
 
     after_revision: int
--- a/packages/burdockquay-state/src/burdockquay_state/_memory.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_memory.py
@@ -1,4 +1,4 @@
-"""Table service and object store in the memory of one process, for tests and stand-ins."""
+"""In-memory table service and object store, for tests and stand-ins."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 @attrs.frozen
 class TableCopy:
-    """State of a table in memory, to which it can return.
+    """Copy of an in-memory table, from which it can be restored.
 
     Parameters
     ----------
     rows : dict of str to Row
     number : int
-        Number of the last write.
+        Write number of the last write.
     """
 
     rows: dict[str, Row]
@@ -41,15 +41,15 @@
 
 @table_services.register("memory")
 class MemoryTable(TableService):
-    """Table service that lives as long as the object.
+    """Table service whose data lives as long as the object.
 
-    Versions grow over the whole table, so that a row that was deleted and written again never
-    shows an old version.
+    Write numbers are shared by all rows of the table, so that a row that was deleted and written
+    again never has an earlier version.
 
     Parameters
     ----------
     era : int
-        Era at the start; 0 names none.
+        Initial era; 0 if the table reports none.
 
     Examples
     --------
@@ -72,15 +72,15 @@
 
     @property
     def era(self) -> int:
-        """The present era."""
+        """Current era."""
         return self._era
 
     def copy(self) -> TableCopy:
-        """Return the present state, to which :meth:`return_to` goes back."""
+        """Return a copy of the current state for :meth:`return_to`."""
         return TableCopy(dict(self._rows), self._number)
 
     def return_to(self, copy: TableCopy) -> None:
-        """Forget all writes since the copy and begin the next era."""
+        """Restore a copy: drop all later writes and begin the next era."""
         self._era += 1
         self._number = copy.number
         self._rows = {
@@ -149,7 +149,7 @@
 
 @object_stores.register("memory")
 class MemoryObjectStore(ObjectStore):
-    """Object store that lives as long as the object."""
+    """Object store whose data lives as long as the object."""
 
     def __init__(self):
         self._objects: dict[str, bytes] = {}
--- a/packages/burdockquay-state/src/burdockquay_state/_position.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_position.py
@@ -1,4 +1,4 @@
-"""Positions in the history of a store that may come back from a copy."""
+"""Positions in the history of a store that may be restored from a copy."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 class Position:
     """A point in the history of a store.
 
-    A store that comes back from a copy gives out revisions again, for other changes. Positions of
-    one era are ordered by their revisions; all those of a later era lie behind them. Revisions of
-    two eras say nothing about each other.
+    A store that is restored from a copy assigns revisions again, for other changes. Positions of
+    one era are ordered by their revisions and come before all positions of a later era. Revisions
+    of different eras are not comparable.
 
     Parameters
     ----------
     era : int
-        Grows each time the store comes back from a copy; 0 where the store names none.
+        Increases each time the store is restored from a copy; 0 if the store reports none.
     revision : int
-        Counter of the store's transactions.
+        Value of the store's transaction counter.
 
     Examples
     --------
--- a/packages/burdockquay-state/src/burdockquay_state/_record_change.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_record_change.py
@@ -1,4 +1,4 @@
-"""What an operator asks for, and what the record log answers."""
+"""Requested changes of records, and the results that the record log returns."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class RecordChange:
-    """A change of one record.
+    """Requested change of one record.
 
     Parameters
     ----------
@@ -22,7 +22,7 @@
     bodies : dict of int to bytes
         Encoded body by schema version; empty for a withdrawal.
     expected_revision : int
-        Revision of the record that the author read; 0 if there was no such record.
+        Revision of the record that the author read; 0 if the record did not exist.
     """
 
     kind: str
@@ -42,12 +42,12 @@
 
     @property
     def path(self) -> str:
-        """Kind and name as text."""
+        """Kind and name as one string; see :func:`record_path`."""
         return record_path(self.kind, self.name)
 
 
 def change_of(records: Sequence[Any], expected_revision: int) -> RecordChange:
-    """Return the change that puts a record, given once in each schema version.
+    """Return the change that writes a record, given once per schema version.
 
     Parameters
     ----------
@@ -71,17 +71,17 @@
 
 @attrs.frozen
 class Accepted:
-    """A change is in the log.
+    """Result of a change that is in the log.
 
     Parameters
     ----------
     revision : int
-        The last revision of the change; with ``dry_run`` the one it would have had.
+        Last revision of the change; with ``dry_run``, the one that it would have had.
     changes : tuple of FieldChange
     dry_run : bool
-        True: everything was checked, nothing written.
+        True if the change was only checked and nothing was written.
     confirmed_late : bool
-        The confirmation of the table was lost; the change was found by reading back.
+        True if the confirmation of the table was lost and the change was found by reading back.
     """
 
     revision: int
@@ -91,35 +91,36 @@
 
 
 class RefusalKind(enum.Enum):
-    """Why a change was not accepted."""
+    """Reason why a change was not accepted."""
 
     INVALID = "invalid"
-    """The change itself is faulty; nothing was written."""
+    """The change itself is invalid; nothing was written."""
     CHANGED = "changed"
-    """The record is no longer as the author read it; nothing was written."""
+    """The record has changed since the author read it; nothing was written."""
     UNAVAILABLE = "unavailable"
-    """The table service does not answer; nothing was written."""
+    """The table service is unavailable; nothing was written."""
     CONTENDED = "contended"
-    """Other writers or stale reads got in the way each time; nothing was written."""
+    """Concurrent writers or stale reads defeated every attempt; nothing was written."""
     UNKNOWN = "unknown"
-    """The change may have been accepted or not, and the table does not tell now."""
+    """The change may have been accepted; the table cannot be read back to find out."""
 
 
 @attrs.frozen
-class Winner:
-    """The change that came first.
+class CompetingChange:
+    """Accepted change with which a refused change conflicts.
 
     Parameters
     ----------
     record : str
     revision : int
-        Revision of the record now, 0 if there is none.
+        Current revision of the record, 0 if there is none.
     author : str
     at : float
         Seconds since the epoch.
     withdrawn : bool
     changes : tuple of FieldChange
-        What it altered against the revision that the loser had read, as far as the log tells.
+        Differences from the revision that the rejected author had read, as far as the log still
+        holds that revision.
     """
 
     record: str
@@ -132,22 +133,22 @@
 
 @attrs.frozen
 class PutRefusal:
-    """A change that was not accepted, or whose fate is unknown.
+    """Result of a change that was not accepted, or whose outcome is unknown.
 
     Parameters
     ----------
     kind : RefusalKind
     detail : str
     faults : tuple of RecordFault
-        With ``INVALID``: all of them.
-    winner : Winner or None
-        With ``CHANGED``.
+        With ``INVALID``: all faults.
+    winner : CompetingChange or None
+        With ``CHANGED``: the last change of the record, None if it has none.
     change_id : str
-        With ``UNKNOWN``: what the log row carries if the change was accepted.
+        With ``UNKNOWN``: identifier that the log row has if the change was accepted.
     """
 
     kind: RefusalKind
     detail: str
     faults: tuple[RecordFault, ...] = ()
-    winner: Winner | None = None
+    winner: CompetingChange | None = None
     change_id: str = ""
--- a/packages/burdockquay-state/src/burdockquay_state/_record_checks.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_record_checks.py
@@ -1,6 +1,6 @@
-"""Checks over the whole configuration, made before a change is accepted.
+"""Consistency checks of the complete configuration, run before a change is accepted.
 
-A check registers in :data:`record_checks` and yields a fault for everything it finds wrong.
+Checks are registered in :data:`record_checks`; each yields a fault for every violation it finds.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from ._registry import Registry
 from ._snapshot import FIELD_BY_KIND, Snapshot
 
-_ROUNDING = 1e-9
+_SHARE_TOLERANCE = 1e-9
 
 _EQUAL_ACROSS_SCHEMAS = (
     "name",
@@ -31,21 +31,21 @@
 
 @attrs.frozen
 class CheckedState:
-    """A configuration as the checks see it.
+    """Configuration that is passed to the checks.
 
     Parameters
     ----------
     snapshot : Snapshot
     opaque : frozenset of (str, str)
-        Kind and name of records that exist but that this release cannot read; a reference to
-        one of them is no fault.
+        Kind and name of records that exist but cannot be read by this release; a reference to
+        one of them is not a fault.
     """
 
     snapshot: Snapshot
     opaque: frozenset[tuple[str, str]] = frozenset()
 
     def has(self, kind: str, name: str) -> bool:
-        """Return whether there is a record of that kind and name."""
+        """Return whether a record of that kind and name exists."""
         return name in getattr(self.snapshot, FIELD_BY_KIND[kind]) or (kind, name) in self.opaque
 
 
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class _Reference:
-    """A field of one kind of record that names a record of another kind."""
+    """Field of one record kind that refers to a record of another kind by name."""
 
     kind: str
     key: str
@@ -72,7 +72,7 @@
 
 
 def _references(state: CheckedState) -> Iterator[tuple[_Reference, Any, str]]:
-    """Yield every reference with the record that makes it and the name it refers to."""
+    """Yield every reference, the record that holds it and the name that it refers to."""
     for reference in _REFERENCES:
         for record in getattr(state.snapshot, FIELD_BY_KIND[reference.kind]).values():
             name = getattr(record, reference.key)
@@ -93,7 +93,7 @@
 def _check_shares(state: CheckedState) -> Iterator[RecordFault]:
     shares = {name: item.share for name, item in state.snapshot.classes.items() if item.share}
     total = sum(shares.values())
-    if total > 1 + _ROUNDING:
+    if total > 1 + _SHARE_TOLERANCE:
         parts = ", ".join(f"{name} {share:g}" for name, share in sorted(shares.items()))
         yield RecordFault(
             "class/*", "share", "shares that add up to at most 1", f"{total:g} ({parts})"
@@ -102,8 +102,8 @@
 
 @record_checks.register("protection")
 def _check_protection(state: CheckedState) -> Iterator[RecordFault]:
-    # A protected class that may be preempted, or that has neither places of its own nor the means
-    # to move lower work, waits behind lower requests in the first burst.
+    # A protected class that may be preempted, or that has neither reserved places nor preemption
+    # of lower classes, would wait behind lower classes in the first burst of requests.
     policy = state.snapshot.policy
     for item in state.snapshot.classes.values():
         path = record_path(item.kind, item.name)
@@ -124,7 +124,7 @@
             if route.group == group.name and route.class_name in state.snapshot.classes
         }
         reserved = {name: state.snapshot.classes[name].reserved_places for name in sorted(names)}
-        # A class without reserved places could never run if the others reserved them all.
+        # A class without reserved places could never run if the other classes reserved all.
         limit = group.places if all(reserved.values()) else group.places - 1
         if sum(reserved.values()) > limit:
             parts = ", ".join(f"{name} {places}" for name, places in reserved.items())
@@ -134,14 +134,14 @@
 
 
 def find_state_faults(state: CheckedState) -> list[RecordFault]:
-    """Return every fault that the registered checks find in a configuration."""
+    """Return all faults that the registered checks find in a configuration."""
     return [fault for name in record_checks for fault in record_checks.get(name)(state)]
 
 
 def find_new_faults(
     before: CheckedState, after: CheckedState, withdrawn: Collection[tuple[str, str]] = ()
 ) -> list[RecordFault]:
-    """Return the faults that a change brings in.
+    """Return the faults that a change introduces.
 
     Parameters
     ----------
@@ -151,11 +151,11 @@
 
     Notes
     -----
-    A fault that was there before does not refuse the change: after a release with a stricter
-    check, operators could otherwise not mend the records one at a time.
+    A fault that existed before does not reject the change. Otherwise operators could not correct
+    the records one at a time after a release with a stricter check.
     """
     known = set(find_state_faults(before))
-    used = list(_find_used(after, withdrawn))
+    used = list(_find_withdrawn_references(after, withdrawn))
     dangling = {
         (record_path(record.kind, record.name), reference.key)
         for reference, record, name in _references(after)
@@ -169,7 +169,7 @@
     return used + others
 
 
-def _find_used(
+def _find_withdrawn_references(
     after: CheckedState, withdrawn: Collection[tuple[str, str]]
 ) -> Iterator[RecordFault]:
     for reference, record, name in _references(after):
@@ -180,13 +180,13 @@
 
 
 def find_put_faults(records: Iterable[Any]) -> list[RecordFault]:
-    """Return faults between the schema versions of one record that are put together.
+    """Return the inconsistencies between schema versions of one record that are put together.
 
     Notes
     -----
-    Processes of the old and the new release act on different bodies of the record at once. If
-    they disagreed on a class's protection or a route's target, the same request would be treated
-    differently by each entry.
+    Processes of the old and the new release use different bodies of the record at the same time.
+    If the bodies disagreed on the protection of a class or the target of a route, entries would
+    treat the same request differently.
 
     Examples
     --------
@@ -205,8 +205,8 @@
         if (other.kind, other.schema) == (first.kind, first.schema):
             faults.append(RecordFault(path, "schema", "each schema once", repr(other.schema)))
         for key in _EQUAL_ACROSS_SCHEMAS:
-            mine, theirs = getattr(first, key, None), getattr(other, key, None)
-            if hasattr(first, key) and hasattr(other, key) and mine != theirs:
-                expected = f"{mine!r} as in schema {first.schema}"
-                faults.append(RecordFault(path, key, expected, repr(theirs)))
+            first_value, other_value = getattr(first, key, None), getattr(other, key, None)
+            if hasattr(first, key) and hasattr(other, key) and first_value != other_value:
+                expected = f"{first_value!r} as in schema {first.schema}"
+                faults.append(RecordFault(path, key, expected, repr(other_value)))
     return faults
--- a/packages/burdockquay-state/src/burdockquay_state/_record_codec.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_record_codec.py
@@ -1,7 +1,7 @@
-"""Bodies of records: from operators' input and stored bytes to attrs classes and back.
+"""Conversion of record bodies between operators' input, stored bytes and attrs classes.
 
-Nothing here raises on bad input: every fault is returned, with the key, what was expected and
-what was got.
+Invalid input raises no exception: all faults are returned, each with the key, the expected value
+and the value found.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 @attrs.frozen
 class RecordFault:
-    """Something wrong with a record.
+    """Fault of a record.
 
     Parameters
     ----------
     record : str
-        Kind and name, as ``class/hold``.
+        Kind and name, such as ``class/hold``.
     key : str
-        Key of the body, empty if the record as a whole is meant.
+        Key of the body; empty if the fault concerns the complete record.
     expected, got : str
     """
 
@@ -40,24 +40,24 @@
     got: str
 
     def __str__(self) -> str:
-        place = f"{self.record}: {self.key}" if self.key else self.record
-        return f"{place}: expected {self.expected}, got {self.got}"
+        location = f"{self.record}: {self.key}" if self.key else self.record
+        return f"{location}: expected {self.expected}, got {self.got}"
 
 
 def known_schemas() -> frozenset[tuple[str, int]]:
-    """Return every (kind, schema version) of this release."""
+    """Return every (kind, schema version) that this release supports."""
     return frozenset(record_schemas)
 
 
 def record_path(kind: str, name: str) -> str:
-    """Return the text that names a record, as ``class/hold``."""
+    """Return kind and name as one string, such as ``class/hold``."""
     return f"{kind}/{name}"
 
 
 def structure_record(
     kind: str, schema: int, body: Mapping[str, Any]
 ) -> Result[Any, list[RecordFault]]:
-    """Return the record whose fields are in ``body``.
+    """Return the record built from the fields in ``body``.
 
     Parameters
     ----------
@@ -65,12 +65,12 @@
     schema : int
         A registered schema version of the kind.
     body : mapping of str to object
-        Fields by name, ``name`` among them.
+        Fields by name, including ``name``.
 
     Returns
     -------
     Result of record, list of RecordFault
-        All faults at once.
+        The error lists all faults.
 
     Examples
     --------
@@ -94,20 +94,20 @@
 
 
 def _unknown_key(path: str, key: Any, fields: Collection[str]) -> RecordFault:
-    # The nearest known key is named, because a mistyped optional key would otherwise leave the
-    # default in force without anyone noticing.
+    # A mistyped optional key must not pass unnoticed and leave its default in force, so the fault
+    # suggests the closest known key.
     hint = describe_unknown("key", str(key), fields).partition("; ")[2].partition(" (known")[0]
     known = f"one of {', '.join(sorted(fields))}"
     return RecordFault(path, str(key), f"a known key; {hint}" if hint else known, repr(key))
 
 
 def encode_record(record: Any) -> bytes:
-    """Return the bytes of a record's body."""
+    """Return the encoded body of a record."""
     return cbor2.dumps(attrs.asdict(record))
 
 
 def decode_body(data: bytes) -> dict[str, Any] | None:
-    """Return the fields in an encoded body, None if the bytes are no such body."""
+    """Return the fields of an encoded body, None if the bytes are not a valid body."""
     try:
         body = cbor2.loads(data)
     except (cbor2.CBORDecodeError, ValueError, RecursionError):
@@ -123,8 +123,8 @@
 ) -> Result[Any, list[RecordFault]]:
     """Return a record in the latest schema of this release.
 
-    Of the bodies, the one with the highest schema version in ``known`` is taken; if it is faulty,
-    the next lower one. Registered upgraders convert it.
+    The body with the highest schema version in ``known`` is used; if it is invalid, the one with
+    the next lower version. Registered upgraders convert it.
 
     Parameters
     ----------
@@ -132,18 +132,18 @@
     bodies : mapping of int to bytes
         Encoded body by schema version.
     known : collection of (str, int), optional
-        The (kind, schema version) pairs that this process understands; default all registered.
+        The (kind, schema version) pairs that this process supports; by default all registered.
 
     Returns
     -------
     Result of record, list of RecordFault
-        The faults say why no body could be used.
+        The faults state why no body could be used.
 
     Notes
     -----
-    While a new schema rolls out, a record carries its old and its new body, and processes of both
-    releases read the same row. A body of an unknown schema is never an exception: a process of the
-    old release that met one would otherwise go down with every record in order.
+    During the rollout of a new schema, a record has both its old and its new body, and processes of
+    both releases read the same row. A body of an unknown schema raises no exception, as it would
+    otherwise crash processes of the old release although every record is valid.
     """
     known = known_schemas() if known is None else known
     usable = sorted((schema for schema in bodies if (kind, schema) in known), reverse=True)
@@ -177,7 +177,7 @@
 
 
 def upgrade(record: Any) -> Any:
-    """Return the record converted step by step to the latest schema of its kind.
+    """Convert a record step by step to the latest schema of its kind.
 
     Examples
     --------
--- a/packages/burdockquay-state/src/burdockquay_state/_record_diff.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_record_diff.py
@@ -1,4 +1,4 @@
-"""What one change of a record altered."""
+"""Differences between two versions of a record."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @attrs.frozen
 class FieldChange:
-    """One field that differs.
+    """Field that differs between two bodies.
 
     Parameters
     ----------
     schema : int
     key : str
     before, after : object
-        None where the body or the key is missing.
+        None if the body or the key is missing.
     """
 
     schema: int
@@ -32,7 +32,7 @@
 
 
 def diff_bodies(before: Mapping[int, bytes], after: Mapping[int, bytes]) -> list[FieldChange]:
-    """Return the fields that differ, by schema version and key.
+    """Return the fields that differ, ordered by schema version and key.
 
     Examples
     --------
@@ -56,6 +56,6 @@
 def _fields(data: bytes | None) -> dict[str, Any]:
     if data is None:
         return {}
-    # Bytes that no release can read are still shown as a difference.
+    # A body that cannot be decoded is still reported as a difference.
     body = decode_body(data)
     return {"": data.hex()} if body is None else body
--- a/packages/burdockquay-state/src/burdockquay_state/_record_state.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_record_state.py
@@ -1,4 +1,4 @@
-"""Head and record rows of the log at one revision, with the versions that writes depend on."""
+"""Head and record rows at one revision, with the row versions on which writes are conditional."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from ._table import Row, TableError, TableService
 from ._versions import era_of, make_version
 
-_PAGE = 1000
+_PAGE_ROWS = 1000
 
 
 async def scan_rows(
     table: TableService, prefix: str, after: str = "", limit: int | None = None
 ) -> Result[list[tuple[Row, LogRow]], TableError]:
-    """Return the rows under a prefix with the change in each, page by page."""
+    """Read the rows under a prefix page by page; return each with its decoded change."""
     rows: list[tuple[Row, LogRow]] = []
     while limit is None or len(rows) < limit:
-        size = _PAGE if limit is None else min(_PAGE, limit - len(rows))
+        size = _PAGE_ROWS if limit is None else min(_PAGE_ROWS, limit - len(rows))
         page = await table.scan(prefix, after, size)
         if isinstance(page, Err):
             return page
@@ -40,15 +40,15 @@
 
 @attrs.frozen
 class StoredState:
-    """What the table holds at one revision.
+    """Contents of the table at one revision.
 
     Parameters
     ----------
     head : HeadRow
     head_version : int
-        Version of the head row, in the era of the reading.
+        Version of the head row, in the era in which it was read.
     rows : dict of (str, str) to LogRow
-        The last change of each record by kind and name, withdrawals included.
+        The last change of each record by kind and name, including withdrawals.
     versions : dict of (str, str) to int
         Version of each record row.
     """
@@ -59,10 +59,10 @@
     versions: dict[tuple[str, str], int]
 
     @classmethod
-    def of(
+    def from_rows(
         cls, head: HeadRow, head_version: int, rows: Sequence[tuple[Row, LogRow]]
     ) -> StoredState:
-        """Return the state made of the rows that were read."""
+        """Build the state from the rows that were read."""
         return cls(
             head,
             head_version,
@@ -72,42 +72,42 @@
 
     @property
     def absent(self) -> int:
-        """The version of a missing row in the era of the reading."""
+        """Version of a missing row in the era in which the state was read."""
         return make_version(self.era, 0)
 
     @property
     def era(self) -> int:
-        """The era of the reading."""
+        """Era in which the state was read."""
         return era_of(self.head_version)
 
     @property
     def last_revision(self) -> int:
-        """The revision behind which the next change is numbered; above any that was lost."""
+        """Revision after which the next change is numbered; greater than any lost revision."""
         return max(self.head.revision, lowest_revision(self.era))
 
     @property
     def next_forks(self) -> tuple[Fork, ...]:
-        """The forks of the log once another change is accepted."""
+        """Forks of the log after the next change is accepted."""
         if self.last_revision == self.head.revision:
             return self.head.forks
         return (*self.head.forks, Fork(self.head.revision, self.last_revision + 1))
 
-    def find_loss(self, revision: int) -> Fork | None:
-        """Return the fork behind which a revision was lost, None if it was not.
+    def find_losing_fork(self, revision: int) -> Fork | None:
+        """Return the fork at which a revision was lost, None if it was not lost.
 
         Notes
         -----
-        Before the first change after a return the log shows no fork yet, and a revision above its
-        head is a lost one unless the reading is old.
+        Before the first change after a restore, the log has no fork yet. A revision above its head
+        is then a lost one, unless the read is stale.
         """
         return find_fork(self.next_forks, revision)
 
-    def in_force(self) -> list[LogRow]:
-        """Return the changes of the records that are not withdrawn."""
+    def records_in_force(self) -> list[LogRow]:
+        """Return the last changes of the records that are not withdrawn."""
         return [row for row in self.rows.values() if not row.withdrawn]
 
     def withdrawn_after(self, revision: int) -> list[LogEntry]:
-        """Return the withdrawals behind a revision."""
+        """Return the withdrawals after a revision."""
         return [
             row.entry
             for row in self.rows.values()
@@ -119,15 +119,17 @@
         row = self.rows.get(key)
         return 0 if row is None or row.withdrawn else row.entry.revision
 
-    def checked(self, known: Collection[tuple[str, int]] | None = None) -> CheckedState:
-        """Return the records for the checks across them."""
-        return checked_state((row.entry for row in self.in_force()), self.head.revision, known)
+    def to_checked_state(self, known: Collection[tuple[str, int]] | None = None) -> CheckedState:
+        """Return the records in force, for the consistency checks."""
+        return make_checked_state(
+            (row.entry for row in self.records_in_force()), self.head.revision, known
+        )
 
 
-def checked_state(
+def make_checked_state(
     entries: Iterable[LogEntry], revision: int, known: Collection[tuple[str, int]] | None = None
 ) -> CheckedState:
-    """Return what the checks see of the last change of each record."""
+    """Return the last change of each record in the form that the checks take."""
     entries = list(entries)
     snapshot, faults = build_snapshot(entries, revision, known)
     unreadable = {fault.record for fault in faults}
--- a/packages/burdockquay-state/src/burdockquay_state/_records.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_records.py
@@ -1,8 +1,8 @@
-"""Record kinds: what operators say, one attrs class for each (kind, schema version).
+"""Records that operators write: one attrs class for each (kind, schema version).
 
-The classes register in :data:`record_schemas` by :func:`record`; an upgrader from one schema
-version to the next registers by :func:`upgrader`. The configuration in force is made of the latest
-version of each kind.
+The classes are registered in :data:`record_schemas` by :func:`record`; an upgrader from one schema
+version to the next is registered by :func:`upgrader`. The configuration in force uses the latest
+schema version of each kind.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from ._validation import NAME, Constraint, InstanceOf, Interval, ListOf, Matches, OneOf
 
 ANY = "*"
-"""Pattern that matches every organisation, model or header value."""
+"""Wildcard that matches every organisation, model or header value."""
 
 _NAME_OR_ANY: list[Constraint] = [NAME, OneOf((ANY,))]
 _MODEL = Matches(r"[A-Za-z0-9][A-Za-z0-9._:/-]{0,127}", "a model name of 1 to 128 characters")
 _BOOL: list[Constraint] = [InstanceOf(bool)]
 
 record_schemas: dict[tuple[str, int], type] = {}
-"""The class of each (kind, schema version)."""
+"""Record class by (kind, schema version)."""
 
 upgraders: dict[tuple[str, int], Callable[[Any], Any]] = {}
-"""From (kind, schema version) to the function that makes the next version of such a record."""
+"""Function that converts a record to the next schema version, by (kind, schema version)."""
 
 
 def record(kind: str, schema: int) -> Callable[[type], type]:
@@ -33,7 +33,7 @@
 
     def add(cls: type) -> type:
         if (kind, schema) in record_schemas:
-            raise ValueError(f"record schema {kind} {schema} is registered already")
+            raise ValueError(f"record schema {kind} {schema} is already registered")
         cls.kind = kind
         cls.schema = schema
         record_schemas[kind, schema] = cls
@@ -43,7 +43,7 @@
 
 
 def upgrader(kind: str, schema: int) -> Callable[[Callable], Callable]:
-    """Return a decorator that registers the step from ``schema`` to ``schema + 1``."""
+    """Return a decorator that registers the conversion from ``schema`` to ``schema + 1``."""
 
     def add(step: Callable) -> Callable:
         upgraders[kind, schema] = step
@@ -55,7 +55,7 @@
 @record("class", 1)
 @attrs.frozen
 class ClassRecordV1:
-    """Service class, first schema: one latency target, no share and no reserved places."""
+    """Service class, schema version 1: one latency target, no share and no reserved places."""
 
     kind: ClassVar[str]
     schema: ClassVar[int]
@@ -85,19 +85,19 @@
     ----------
     name : str
     priority : int
-        The larger, the more urgent.
+        Larger values are more urgent.
     first_token_target_s, between_tokens_target_s : float
-        Latency targets in seconds.
+        Targets for the time to the first token and between tokens, seconds.
     patience_s : float
-        How long a request of the class may wait before it is refused, in seconds.
+        How long a request of the class may wait before it is refused, seconds.
     share : float
-        Part of the generated tokens that the class is guaranteed while it has demand.
+        Fraction of the generated tokens that the class is guaranteed while it has demand.
     protected : bool
-        Never shed or preempted for a lower class.
+        Whether requests of the class are never shed or preempted for a lower class.
     preemptible : bool
-        May be paused on its engine for a higher class.
+        Whether running requests may be paused on their engine for a higher class.
     reserved_places : int
-        Places of each upstream kept free for this class and higher ones.
+        Places at each upstream that are reserved for this class and higher ones.
     """
 
     kind: ClassVar[str]
@@ -143,7 +143,7 @@
 @record("organisation", 1)
 @attrs.frozen
 class OrganisationRecord:
-    """An organisation that sends requests.
+    """Organisation that sends requests.
 
     Parameters
     ----------
@@ -151,13 +151,13 @@
     key_salt : str
         Hexadecimal salt of the API key digests.
     key_digests : list of str
-        Hexadecimal SHA-256 of salt and key, one for each valid API key.
+        Hexadecimal SHA-256 digests of salt and key, one for each valid API key.
     requests_per_s : float
-        Limit on the rate of requests at one entry.
+        Limit on the request rate at one entry.
     outstanding : int
-        Limit on the requests of the organisation that one entry holds at a time.
+        Limit on the concurrent requests of the organisation at one entry.
     weight : float
-        Weight in the fair division inside a class.
+        Weight of the organisation in fair queueing within a class.
     """
 
     kind: ClassVar[str]
@@ -182,7 +182,7 @@
 @record("route", 1)
 @attrs.frozen
 class RouteRecordV1:
-    """Routing rule, first schema: no header condition, idempotent unless it demands a key."""
+    """Routing rule, schema version 1: no header condition; idempotent unless it requires a key."""
 
     kind: ClassVar[str]
     schema: ClassVar[int]
@@ -210,10 +210,10 @@
 @record("route", 2)
 @attrs.frozen
 class RouteRecord:
-    """Routing rule: which requests belong to which class and upstream group.
+    """Routing rule, which assigns matching requests to a class and an upstream group.
 
-    Of the rules that match a request the one with the largest ``precedence`` decides; of equals
-    the one whose name sorts first.
+    Of the rules that match a request, the one with the largest ``precedence`` applies; among
+    equals, the one whose name sorts first.
 
     Parameters
     ----------
@@ -224,13 +224,13 @@
     organisation, model : str
         A name, or ``"*"``.
     path_prefix : str
-        Start of the request's path, such as ``/v1/chat/completions`` or ``/services/bookings``.
+        Prefix of the request path, such as ``/v1/chat/completions`` or ``/services/bookings``.
     service_class : str
-        Value of the header ``X-Service-Class`` that the rule demands, or ``"*"``.
+        Value of the header ``X-Service-Class`` that the rule requires, or ``"*"``.
     idempotent : bool
-        False: the request has an effect that must happen at most once.
+        False if the request has an effect that must happen at most once.
     requires_key : bool
-        Refuse requests that carry no ``Idempotency-Key``.
+        Whether requests without an ``Idempotency-Key`` are refused.
     """
 
     kind: ClassVar[str]
@@ -262,7 +262,7 @@
 @record("group", 1)
 @attrs.frozen
 class GroupRecord:
-    """An upstream group: upstreams of which any one can serve a request.
+    """Upstream group: a set of upstreams, any of which can serve a request.
 
     Parameters
     ----------
@@ -272,11 +272,11 @@
     models : list of str
         Models that the engines serve; empty for services.
     places : int
-        Requests that one upstream runs at a time.
+        Maximum number of requests that one upstream runs concurrently.
     subset : int
-        Upstreams of the group that one entry connects to.
+        Number of upstreams of the group to which one entry connects.
     checks_fencing : bool
-        Whether the upstreams refuse an order with an old fencing number.
+        Whether the upstreams reject an order with an outdated fencing number.
     """
 
     kind: ClassVar[str]
@@ -301,7 +301,7 @@
 @record("placement", 1)
 @attrs.frozen
 class PlacementRecord:
-    """An order to the engines of a group, acted on at most once by each.
+    """Order to the engines of a group, executed at most once by each.
 
     Parameters
     ----------
@@ -312,7 +312,7 @@
     argument : str
         What to load, or the new role.
     vms : list of str
-        Names of the VMs concerned; empty for every upstream of the group.
+        Names of the VMs to which the order applies; empty for every upstream of the group.
     """
 
     kind: ClassVar[str]
@@ -335,14 +335,14 @@
 @record("quarantine-withdrawal", 1)
 @attrs.frozen
 class QuarantineWithdrawalRecord:
-    """Frees a quarantined request.
+    """Releases a request from quarantine.
 
     Parameters
     ----------
     name : str
-        Free to choose.
+        Any unused name.
     digest : str
-        Digest of the request, as the refusal and the status name it.
+        Digest of the request, as reported in the refusal and in the status.
     """
 
     kind: ClassVar[str]
@@ -358,29 +358,29 @@
 
 QUEUE_POLICIES = ("class_share", "fifo")
 PLACEMENT_POLICIES = ("least_reported", "random", "round_robin", "scored", "two_choices")
-"""Policies that a record may name. The registries are in a layer above this one; a test holds that
-both agree."""
+"""Policies that a record may name. The registries are in a higher layer; a test checks that both
+agree."""
 
 
 @record("policy", 1)
 @attrs.frozen
 class PolicyRecord:
-    """Which registered policies decide, and their limits. Only the record ``default`` counts.
+    """Selection of registered policies and their limits; only the record ``default`` is used.
 
     Parameters
     ----------
     name : str
     binding : str
         ``"grant"``: requests wait at the entry until a slot grants a place. ``"slot_queue"``:
-        requests are sent at once and wait in the slot.
+        requests are sent at once and queue in the slot.
     queue, placement : str
-        Names of a registered queue and placement policy.
+        Names of a registered queue policy and placement policy.
     preemption, reserve : bool
-        Whether running requests are paused for higher classes, and places kept free.
+        Whether running requests are paused for higher classes, and whether places are reserved.
     shedding : bool
-        Whether requests are refused early by their expected wait.
+        Whether requests are refused early if their expected wait is too long.
     retry_ratio : float
-        Retries allowed for each fresh request.
+        Retries allowed per new request.
     """
 
     kind: ClassVar[str]
--- a/packages/burdockquay-state/src/burdockquay_state/_registry.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill, for behaviour that varies."""
+"""Registries of exchangeable implementations, filled by decorators."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class UnknownNameError(KeyError):
-    """A name was looked up that nothing was registered under."""
+    """No item is registered under the name that was looked up."""
 
     def __str__(self) -> str:
         return str(self.args[0])
@@ -51,19 +51,19 @@
 
         def add(item: T) -> T:
             if name in self._items:
-                raise ValueError(f"{self.what} {name!r} is registered already")
+                raise ValueError(f"{self.what} {name!r} is already registered")
             self._items[name] = item
             return item
 
         return add
 
     def get(self, name: str) -> T:
-        """Return what is registered under ``name``.
+        """Return the item registered under ``name``.
 
         Raises
         ------
         UnknownNameError
-            If nothing is; the message lists the known names and the nearest one.
+            If there is none; the message lists the known names and the closest match.
         """
         if name in self._items:
             return self._items[name]
@@ -81,16 +81,16 @@
 
 
 def describe_unknown(what: str, name: str, known: object) -> str:
-    """Return a message that names the unknown value and the nearest known one.
+    """Return a message that names the unknown value and the closest known one.
 
     Parameters
     ----------
     what : str
         What was looked up, in the singular.
     name : str
-        The value that was given.
+        The unknown value.
     known : iterable of str
-        The values that would have been accepted.
+        The accepted values.
 
     Examples
     --------
--- a/packages/burdockquay-state/src/burdockquay_state/_snapshot.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_snapshot.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one revision."""
+"""The configuration at one revision of the record log."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @attrs.frozen
 class Snapshot:
-    """All records in force at a revision, each in the latest schema, by name.
+    """All records in force at a revision, by name, each in the latest schema.
 
     Parameters
     ----------
     revision : int
-        Revision of the record log; 0 is the empty configuration.
+        Revision of the record log; 0 for the empty configuration.
     """
 
     revision: int = 0
@@ -42,7 +42,7 @@
 
     @property
     def policy(self) -> PolicyRecord:
-        """The policy record in force, or the default one."""
+        """The policy record in force, or the built-in defaults if there is none."""
         return self.policies.get("default", PolicyRecord())
 
 
@@ -55,7 +55,7 @@
     "quarantine-withdrawal": "withdrawals",
     "policy": "policies",
 }
-"""The field of :class:`Snapshot` that holds the records of each kind."""
+"""Field of :class:`Snapshot` that holds the records of each kind."""
 
 
 def build_snapshot(
@@ -63,12 +63,12 @@
     revision: int,
     known: Collection[tuple[str, int]] | None = None,
 ) -> tuple[Snapshot, list[RecordFault]]:
-    """Return the configuration that the entries make, and the faults of unreadable records.
+    """Return the configuration built from log entries, and the faults of unreadable records.
 
     Parameters
     ----------
     entries : iterable of LogEntry
-        The last change of each record; withdrawals are passed over.
+        The last change of each record; withdrawals are ignored.
     revision : int
     known : collection of (str, int), optional
         As for :func:`decode_record`.
--- a/packages/burdockquay-state/src/burdockquay_state/_table.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_table.py
@@ -1,7 +1,7 @@
-"""The interfaces to the platform: table service, object store and VM list.
+"""Interfaces to the platform: table service, object store and VM list.
 
-Adapters register under a name in :data:`table_services`, :data:`object_stores` and
-:data:`vm_lists`, so that another platform needs a new adapter and no change elsewhere.
+Adapters are registered by name in :data:`table_services`, :data:`object_stores` and
+:data:`vm_lists`, so that support for another platform needs only a new adapter.
 """
 
 from __future__ import annotations
@@ -17,21 +17,20 @@
 from ._versions import make_version
 
 ABSENT = 0
-"""The version of a row that does not exist, in a table that names no era."""
+"""Version of a row that does not exist, in a table that reports no era."""
 
 
 @attrs.frozen
 class Row:
-    """A row of the table.
+    """Row of the table.
 
     Parameters
     ----------
     key : str
     value : bytes
     version : int
-        Grows with every write of the row and with the era of the table; never :data:`ABSENT`. A
-        row that was deleted and written again never shows a version that it had before: claims
-        rely on it.
+        Increases with every write of the row and with the era of the table; never :data:`ABSENT`.
+        A row that was deleted and written again never has an earlier version; claims rely on this.
     """
 
     key: str
@@ -46,8 +45,8 @@
     Parameters
     ----------
     expected_version : int or None
-        :attr:`TableService.absent` demands that there be no row; None accepts any version. A
-        version of another era than the table's is never met.
+        :attr:`TableService.absent` requires that the row does not exist; None accepts any version.
+        A version of an era other than the current one of the table never matches.
     """
 
     key: str
@@ -65,7 +64,7 @@
 
 @attrs.frozen
 class Check:
-    """Demand that the row under ``key`` has ``expected_version``; write nothing."""
+    """Require that the row under ``key`` has ``expected_version``, without writing it."""
 
     key: str
     expected_version: int
@@ -75,29 +74,29 @@
 
 
 class TableErrorKind(enum.Enum):
-    """Why a call of the table service failed."""
+    """Reason why a call of the table service failed."""
 
     CONFLICT = "conflict"
     """A condition did not hold; nothing was written."""
     UNAVAILABLE = "unavailable"
-    """The service certainly did not carry the call out."""
+    """The service certainly did not carry out the call."""
     UNCERTAIN = "uncertain"
-    """The service may have carried the call out: the answer was lost or late."""
+    """The service may have carried out the call: the answer was lost or late."""
     INVALID = "invalid"
-    """The service refused the call as malformed."""
+    """The service rejected the call as malformed."""
 
 
 @attrs.frozen
 class TableError:
-    """A failed call of the table service.
+    """Error of a call of the table service.
 
     Parameters
     ----------
     kind : TableErrorKind
     detail : str
-        For the log.
+        Text for the log.
     conflicts : tuple of int
-        With ``CONFLICT``: the positions of the operations whose condition did not hold.
+        With ``CONFLICT``: the indices of the operations whose condition did not hold.
     """
 
     kind: TableErrorKind
@@ -106,23 +105,23 @@
 
 
 class TableService(ABC):
-    """Transactional key-value table of the platform. Keys are ordered as strings.
+    """Transactional key-value table of the platform, with keys in string order.
 
     Notes
     -----
-    The table may come back from a copy some seconds old. Acknowledged writes since the copy are
-    gone then, and their numbers are given out again. The era, which every answer names, tells the
-    states apart; it is part of every version (:func:`make_version`).
+    The table may be restored from a copy that is some seconds old. Acknowledged writes since the
+    copy are then lost, and their numbers are assigned again. The era, which every answer reports,
+    distinguishes the states; it is part of every version (:func:`make_version`).
     """
 
     @property
     def era(self) -> int:
-        """The latest era that an answer has named; 0 before any, or if the table names none."""
+        """Latest era that an answer reported; 0 before the first, or if the table reports none."""
         return 0
 
     @property
     def absent(self) -> int:
-        """The version of a row that does not exist, in the latest era known."""
+        """Version of a row that does not exist, in the latest known era."""
         return make_version(self.era, 0)
 
     @abstractmethod
@@ -133,7 +132,7 @@
     async def scan(
         self, prefix: str, after: str = "", limit: int = 1000
     ) -> Result[list[Row], TableError]:
-        """Return up to ``limit`` rows under ``prefix`` whose keys sort behind ``after``."""
+        """Return up to ``limit`` rows under ``prefix`` whose keys sort after ``after``."""
 
     @abstractmethod
     async def transact(
@@ -149,11 +148,11 @@
 
 
 class ObjectStore(ABC):
-    """Store of large values under the digest of their content."""
+    """Store for large values, with the digest of the content as the key."""
 
     @abstractmethod
     async def put(self, digest: str, content: bytes) -> Result[None, TableError]:
-        """Store the content; storing it again is harmless."""
+        """Store the content; idempotent."""
 
     @abstractmethod
     async def get(self, digest: str) -> Result[bytes | None, TableError]:
@@ -161,7 +160,7 @@
 
 
 class VmState(enum.Enum):
-    """What the platform says of a VM."""
+    """State of a VM as reported by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -169,18 +168,18 @@
 
 @attrs.frozen
 class VmEntry:
-    """One line of the VM list.
+    """Entry of the VM list.
 
     Parameters
     ----------
     vm : str
-        Name of the VM; a replacement on the same address has another name.
+        Name of the VM; a replacement at the same address has a different name.
     role : str
         ``"entry"`` or ``"slot"``.
     host, port
-        Where the process listens for peers.
+        Address at which the process listens for peers.
     status_port : int
-        Where the process answers HTTP: health, readiness, status.
+        Port at which the process serves health, readiness and status over HTTP.
     failure_domain : str
     group : str
         Upstream group that a slot serves; empty for an entry.
@@ -203,11 +202,11 @@
 
 
 class VmList(ABC):
-    """The platform's lagging list of VMs."""
+    """List of VMs of the platform, which may lag behind the actual state."""
 
     @abstractmethod
     async def list(self) -> Result[list[VmEntry], TableError]:
-        """Return the list as the platform shows it now."""
+        """Return the list as the platform currently reports it."""
 
 
 table_services: Registry[type[TableService]] = Registry("table service")
--- a/packages/burdockquay-state/src/burdockquay_state/_validation.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_validation.py
@@ -1,7 +1,7 @@
-"""Declared constraints on the parameters of a class, and the one place that checks them.
+"""Declarative constraints on the parameters of a class, and their validation.
 
-A class declares a table ``_constraints`` from parameter name to a list of constraints; a value is
-accepted if any constraint of the list accepts it. Parameters without an entry are not checked.
+A class declares ``_constraints``, which maps a parameter name to a list of constraints; a value is
+valid if any constraint of the list accepts it. Parameters without an entry are not checked.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 class InvalidParameterError(ValueError):
-    """One or more parameters of an object break their declared constraints."""
+    """One or more parameters of an object violate their declared constraints."""
 
 
 class Constraint(ABC):
-    """A condition on one value."""
+    """Condition on one value."""
 
     @abstractmethod
     def accepts(self, value: Any) -> bool:
-        """Return whether the value meets the condition."""
+        """Return whether the value satisfies the condition."""
 
     @abstractmethod
     def __str__(self) -> str: ...
@@ -32,12 +32,12 @@
 
 @attrs.frozen
 class InstanceOf(Constraint):
-    """Accept instances of a type; a bool is no int."""
+    """Accepts instances of a type; a bool does not count as an int."""
 
     kind: type
 
     def accepts(self, value: Any) -> bool:
-        """Return whether the value is an instance."""
+        """Return whether the value is an instance of the type."""
         if isinstance(value, bool) and self.kind is not bool:
             return False
         return isinstance(value, self.kind)
@@ -48,14 +48,14 @@
 
 @attrs.frozen
 class Interval(Constraint):
-    """Accept numbers between ``low`` and ``high``, both included; infinity only as a bound.
+    """Accepts finite numbers from ``low`` to ``high``, both included; only a bound may be infinite.
 
     Parameters
     ----------
     kind : type
         ``int`` or ``float``; a float interval accepts ints too.
     low, high : float
-        The bounds.
+        Inclusive bounds.
     """
 
     kind: type
@@ -81,7 +81,7 @@
 
 @attrs.frozen
 class OneOf(Constraint):
-    """Accept the listed values."""
+    """Accepts the listed values."""
 
     values: tuple[Any, ...]
 
@@ -95,27 +95,27 @@
 
 @attrs.frozen
 class Matches(Constraint):
-    """Accept strings that match a regular expression as a whole."""
+    """Accepts strings that fully match a regular expression."""
 
     pattern: str
-    words: str
+    description: str
 
     def accepts(self, value: Any) -> bool:
         """Return whether the value is a string that matches."""
         return isinstance(value, str) and re.fullmatch(self.pattern, value) is not None
 
     def __str__(self) -> str:
-        return self.words
+        return self.description
 
 
 @attrs.frozen
 class ListOf(Constraint):
-    """Accept lists and tuples whose every item meets ``item``."""
+    """Accepts lists and tuples in which every item satisfies ``item``."""
 
     item: Constraint
 
     def accepts(self, value: Any) -> bool:
-        """Return whether the value is a sequence of accepted items."""
+        """Return whether the value is a list or tuple of accepted items."""
         return isinstance(value, list | tuple) and all(self.item.accepts(part) for part in value)
 
     def __str__(self) -> str:
@@ -131,14 +131,14 @@
 
 @attrs.frozen
 class ParameterFault:
-    """A value that breaks its constraints.
+    """A value that violates its constraints.
 
     Parameters
     ----------
     key : str
         Name of the parameter.
     expected, got : str
-        What would have been accepted, and the value that was given.
+        Description of the accepted values, and the value that was given.
     """
 
     key: str
@@ -152,19 +152,19 @@
 def list_faults(
     constraints: Mapping[str, Sequence[Constraint]], values: Mapping[str, Any]
 ) -> list[ParameterFault]:
-    """Return a fault for each given value that breaks its constraints.
+    """Return a fault for each given value that violates its constraints.
 
     Parameters
     ----------
     constraints : mapping of str to sequence of Constraint
-        The declared table.
+        The declared constraints.
     values : mapping of str to object
-        Values by parameter; parameters that are missing here are not checked.
+        Values by parameter name; parameters that are missing here are not checked.
 
     Returns
     -------
     list of ParameterFault
-        In the order of the table.
+        In the order of ``constraints``.
     """
     faults = []
     for name, accepted in constraints.items():
@@ -175,31 +175,31 @@
 
 
 def find_faults(constraints: Mapping[str, Sequence[Constraint]], values: Any) -> list[str]:
-    """Return a message for each attribute of ``values`` that breaks its constraints.
+    """Return a message for each attribute of ``values`` that violates its constraints.
 
     Parameters
     ----------
     constraints : mapping of str to sequence of Constraint
-        The declared table.
+        The declared constraints.
     values : object
         The object whose attributes are checked.
 
     Returns
     -------
     list of str
-        ``parameter: expected …, got …``, in the order of the table; empty if all is well.
+        ``parameter: expected …, got …``, in the order of ``constraints``; empty if all are valid.
     """
     attributes = {name: getattr(values, name) for name in constraints}
     return [str(fault) for fault in list_faults(constraints, attributes)]
 
 
 def check_parameters(instance: Any) -> None:
-    """Check an object against the table ``_constraints`` of its class.
+    """Check an object against the ``_constraints`` of its class.
 
     Raises
     ------
     InvalidParameterError
-        With every fault at once.
+        Lists all violations.
     """
     faults = find_faults(type(instance)._constraints, instance)
     if faults:
--- a/packages/burdockquay-state/src/burdockquay_state/_versions.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_versions.py
@@ -1,27 +1,27 @@
-"""Versions of rows, which grow over every write and every return of the table from a copy.
+"""Row versions, which increase with every write and every restore of the table from a copy.
 
-A table that returns from an older copy forgets its latest writes and gives their versions out
-again. Its era, a number that rises by one with each return, is the upper part of every version
-here, so that versions of different eras are never equal and the later one compares as greater.
+A table that is restored from an older copy loses its latest writes and assigns their versions
+again. Its era, a number that increases by one with each restore, is the upper part of every
+version here, so that versions of different eras are never equal and the later one is greater.
 """
 
 from __future__ import annotations
 
 ERA_SHIFT = 48
-"""Bits of a version below its era: the table's own number of the write."""
+"""Bits of a version below its era, which hold the table's own write number."""
 
 _NUMBER_MASK = (1 << ERA_SHIFT) - 1
 
 
 def make_version(era: int, number: int) -> int:
-    """Return the version of a write, or with ``number`` 0 that of a missing row in an era.
+    """Return the version of a write; with ``number`` 0, that of a missing row in the era.
 
     Parameters
     ----------
     era : int
-        0 for a table that names none.
+        0 for a table that reports none.
     number : int
-        The table's own version.
+        The write number that the table assigned.
 
     Examples
     --------
@@ -39,5 +39,5 @@
 
 
 def number_of(version: int) -> int:
-    """Return the table's own number of a version, 0 for a missing row."""
+    """Return the table's own write number in a version, 0 for a missing row."""
     return version & _NUMBER_MASK
--- a/packages/burdockquay-state/src/burdockquay_state/tests/test_claims.py
+++ b/packages/burdockquay-state/src/burdockquay_state/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims against a table whose reads lag behind its writes."""
+"""Claims in a table whose reads lag behind its writes."""
 
 from result import Ok
 
@@ -6,7 +6,7 @@
 
 
 class LaggingTable(MemoryTable):
-    """Answers reads from the moment at which it was told to lag."""
+    """Table that answers reads from the state at the time when ``lag`` was called."""
 
     old = None
 
@@ -19,10 +19,10 @@
         return Ok([self.old.get(key) for key in keys])
 
 
-async def test_old_read_is_not_taken_for_a_cancellation():
-    """An attempt was cancelled, the next one claims, and its entry loses the slot. The table then
-    shows the entry the row as it was before the claim: cancelled. The caller would be told that
-    nothing ran while the request runs.
+async def test_stale_read_does_not_count_as_a_cancellation():
+    """An attempt is cancelled, the next one claims the key, and the entry loses the connection to
+    its slot. A stale read then shows the entry the row from before the claim, as cancelled. The
+    caller would be told that nothing ran while the request runs.
     """
     table = LaggingTable()
     claims = ClaimStore(table, MemoryObjectStore())
--- a/packages/burdockquay-state/src/burdockquay_state/tests/test_group_commit.py
+++ b/packages/burdockquay-state/src/burdockquay_state/tests/test_group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: each write gets the outcome that it would have had alone."""
+"""Group commit: each write has the outcome that it would have on its own."""
 
 import asyncio
 
@@ -20,17 +20,17 @@
 
 
 class SlowTable(MemoryTable):
-    """Lets other tasks run before it carries a transaction out."""
+    """Table that lets other tasks run before it carries out a transaction."""
 
     async def transact(self, operations):
         await asyncio.sleep(0)
         return await super().transact(operations)
 
 
-async def commit_all(writes, most):
+async def commit_all(writes, operations_limit):
     table = SlowTable()
     await table.transact([Put(key, b"old") for key in "ab"])
-    committer = GroupCommitter(table, max_operations=most)
+    committer = GroupCommitter(table, max_operations=operations_limit)
     operations = [
         Delete(key, expected) if deletes else Put(key, str(number).encode(), expected)
         for number, (key, expected, deletes) in enumerate(writes)
@@ -40,11 +40,11 @@
 
 
 @given(WRITES, st.integers(1, 8))
-def test_no_two_writes_win_on_one_version(writes, most):
-    """Two callers send one key at the same moment and both claims fall into one transaction. If
-    both were taken for won, the request would run twice.
+def test_no_two_writes_succeed_on_one_version(writes, operations_limit):
+    """Two callers send the same key concurrently, and both claims are in one transaction. If both
+    counted as successful, the request would run twice.
     """
-    table, committer, outcomes = asyncio.run(commit_all(writes, most))
+    table, committer, outcomes = asyncio.run(commit_all(writes, operations_limit))
     won = [operation for operation, result in outcomes if result.is_ok()]
     by_condition = [(o.key, o.expected_version) for o in won if o.expected_version != ABSENT]
     assert len(by_condition) == len(set(by_condition))
@@ -57,8 +57,8 @@
 
 
 async def test_conflict_of_one_write_fails_no_other():
-    """A repeat of one key shares a transaction with other requests. Without the split all of them
-    would be refused because of it.
+    """A retry with a used key shares a transaction with other requests. If its failed write were
+    not split off, all of them would be refused.
     """
     table = SlowTable()
     await table.transact([Put("taken", b"")])
@@ -69,9 +69,9 @@
     assert committer.writes == 2
 
 
-async def test_cancelled_caller_neither_stops_nor_loses_the_others():
-    """The caller of one request leaves while the group is under way. The other callers of the group
-    would wait for ever if its task had carried the transaction.
+async def test_cancelled_caller_does_not_affect_the_others():
+    """One caller is cancelled while the transaction of its group is in progress. If its task ran
+    the transaction, the other callers of the group would wait forever.
     """
     table = SlowTable()
     committer = GroupCommitter(table)
@@ -84,20 +84,20 @@
 
 
 async def test_failing_adapter_leaves_no_caller_waiting():
-    """The adapter of the table raises instead of returning an error. Callers would hang."""
+    """The table adapter raises instead of returning an error, which must not block the callers."""
 
-    class Raising(MemoryTable):
+    class RaisingTable(MemoryTable):
         async def transact(self, operations):
             raise RuntimeError("no such host")
 
-    result = await GroupCommitter(Raising()).write(Put("a", b""))
+    result = await GroupCommitter(RaisingTable()).write(Put("a", b""))
     assert isinstance(result, Err)
     assert result.err() == TableError(TableErrorKind.UNCERTAIN, "RuntimeError: no such host")
 
 
-async def test_pace_bounds_the_transactions_of_a_process():
-    """Many slots claim at once and together exceed the writes that the table takes. With a pace,
-    what comes within it shares a transaction, and a full group does not wait.
+async def test_max_delay_limits_the_transactions_of_a_process():
+    """Many slots claim at once and exceed the write rate of the table. With a minimum interval, the
+    writes that arrive within it share a transaction, and a full group does not wait.
     """
     table = MemoryTable()
     committer = GroupCommitter(table, max_operations=8, max_delay_s=0.05)
--- a/packages/burdockquay-state/src/burdockquay_state/tests/test_memory.py
+++ b/packages/burdockquay-state/src/burdockquay_state/tests/test_memory.py
@@ -1,4 +1,4 @@
-"""The table of one process against the contract of the interface."""
+"""The in-memory tables fulfil the contract of :class:`TableService`."""
 
 from burdockquay_state import (
     ABSENT,
@@ -40,26 +40,26 @@
 
 
 async def write_lost(table):
-    """Write ``a`` after a copy, let the table return to it, and return the lost version."""
+    """Write ``a`` after a copy, restore the copy, and return the version of the lost write."""
     copy = table.copy()
     (lost,) = (await table.transact([Put("a", b"lost")])).ok()
     table.return_to(copy)
     return lost
 
 
-async def test_version_of_an_earlier_era_is_never_met():
-    """A row has the same number after the return as a lost write had before it."""
+async def test_version_of_an_earlier_era_never_matches():
+    """After a restore, a row has the same write number as a lost write had before."""
     table = MemoryTable(era=1)
     lost = await write_lost(table)
-    (given_again,) = (await table.transact([Put("a", b"other", table.absent)])).ok()
-    assert number_of(given_again) == number_of(lost)
+    (reassigned,) = (await table.transact([Put("a", b"other", table.absent)])).ok()
+    assert number_of(reassigned) == number_of(lost)
     refused = await table.transact([Put("a", b"late", lost)])
     assert refused.err().conflicts == (0,)
     assert (await table.get(["a"])).ok()[0].value == b"other"
 
 
-async def test_missing_row_of_an_earlier_era_is_never_met():
-    """A write that expects no row arrives after the return, when its row is missing again."""
+async def test_missing_row_of_an_earlier_era_never_matches():
+    """A write that expects no row arrives after a restore, when the row is missing again."""
     table = MemoryTable(era=1)
     absent = table.absent
     await write_lost(table)
@@ -67,8 +67,8 @@
     assert (await table.transact([Put("a", b"new", table.absent)])).is_ok()
 
 
-async def test_versions_grow_over_a_return():
-    """A reader takes an unchanged row of the later era for an old reading of the earlier one."""
+async def test_versions_increase_across_a_restore():
+    """An unchanged row of the later era must not look like a stale read of the earlier era."""
     table = MemoryTable(era=1)
     (kept,) = (await table.transact([Put("b", b"kept")])).ok()
     lost = await write_lost(table)
@@ -78,8 +78,8 @@
     assert era_of(row.version) == table.era == 2
 
 
-async def test_faulty_table_shows_no_state_from_before_a_return():
-    """A replica answers a read after the return with a write that was lost."""
+async def test_faulty_table_shows_no_state_from_before_a_restore():
+    """A replica must not answer a read after the restore with a write that was lost."""
     table = FaultyTable(era=1)
     await write_lost(table)
     table.stale_reads = [1, 1]
--- a/packages/burdockquay-state/src/burdockquay_state/tests/test_record_checks.py
+++ b/packages/burdockquay-state/src/burdockquay_state/tests/test_record_checks.py
@@ -1,4 +1,4 @@
-"""Reading of record bodies, and the checks over the whole configuration."""
+"""Decoding of record bodies, and the consistency checks of the complete configuration."""
 
 import attrs
 import pytest
@@ -26,7 +26,7 @@
 HOLD = ClassRecord("hold", 100, 0.4, 0.05, 5.0, 0.5, True, False, 1)
 DRAFT = ClassRecord("draft", 10, 2.0, 0.1, 60.0, 0.5)
 DESK = GroupRecord("desk", places=2)
-SOUND = Snapshot(
+VALID_SNAPSHOT = Snapshot(
     revision=1,
     classes={"hold": HOLD, "draft": DRAFT},
     groups={"desk": DESK},
@@ -37,57 +37,60 @@
 )
 
 
-def change(**fields):
-    return attrs.evolve(SOUND, **fields)
+def snapshot_with(**fields):
+    return attrs.evolve(VALID_SNAPSHOT, **fields)
 
 
-FAULTY = {
+INVALID_SNAPSHOTS = {
     "dangling class": (
-        change(routes={"r": RouteRecord("r", "hodl", "desk")}),
+        snapshot_with(routes={"r": RouteRecord("r", "hodl", "desk")}),
         ("route/r", "class_name"),
     ),
-    "dangling group": (change(routes={"r": RouteRecord("r", "hold", "d")}), ("route/r", "group")),
+    "dangling group": (
+        snapshot_with(routes={"r": RouteRecord("r", "hold", "d")}),
+        ("route/r", "group"),
+    ),
     "dangling organisation": (
-        change(routes={"r": RouteRecord("r", "hold", "desk", organisation="x")}),
+        snapshot_with(routes={"r": RouteRecord("r", "hold", "desk", organisation="x")}),
         ("route/r", "organisation"),
     ),
     "dangling placement": (
-        change(placements={"p": PlacementRecord("p", "d", "load_model", "m")}),
+        snapshot_with(placements={"p": PlacementRecord("p", "d", "load_model", "m")}),
         ("placement/p", "group"),
     ),
     "shares": (
-        change(classes={"hold": HOLD, "draft": attrs.evolve(DRAFT, share=0.6)}),
+        snapshot_with(classes={"hold": HOLD, "draft": attrs.evolve(DRAFT, share=0.6)}),
         ("class/*", "share"),
     ),
     "protected and preemptible": (
-        change(classes={"hold": attrs.evolve(HOLD, preemptible=True), "draft": DRAFT}),
+        snapshot_with(classes={"hold": attrs.evolve(HOLD, preemptible=True), "draft": DRAFT}),
         ("class/hold", "preemptible"),
     ),
     "no place": (
-        change(
+        snapshot_with(
             classes={"hold": attrs.evolve(HOLD, reserved_places=0), "draft": DRAFT},
             policies={"default": PolicyRecord(preemption=False)},
         ),
         ("class/hold", "reserved_places"),
     ),
     "all places reserved": (
-        change(groups={"desk": attrs.evolve(DESK, places=1)}),
+        snapshot_with(groups={"desk": attrs.evolve(DESK, places=1)}),
         ("group/desk", "places"),
     ),
 }
 
 
-@pytest.mark.parametrize("name", FAULTY)
+@pytest.mark.parametrize("name", INVALID_SNAPSHOTS)
 def test_check_finds_the_fault_and_names_the_key(name):
-    assert find_state_faults(CheckedState(SOUND)) == []
-    snapshot, place = FAULTY[name]
-    found = find_new_faults(CheckedState(SOUND), CheckedState(snapshot))
-    assert place in [(fault.record, fault.key) for fault in found]
+    assert find_state_faults(CheckedState(VALID_SNAPSHOT)) == []
+    snapshot, location = INVALID_SNAPSHOTS[name]
+    found = find_new_faults(CheckedState(VALID_SNAPSHOT), CheckedState(snapshot))
+    assert location in [(fault.record, fault.key) for fault in found]
     assert find_new_faults(CheckedState(snapshot), CheckedState(snapshot)) == []
 
 
 def test_reference_to_a_record_of_a_newer_release_is_no_fault():
-    snapshot = change(classes={"draft": DRAFT})
+    snapshot = snapshot_with(classes={"draft": DRAFT})
     assert find_state_faults(CheckedState(snapshot))
     assert not find_state_faults(CheckedState(snapshot, frozenset({("class", "hold")})))
 
@@ -109,8 +112,8 @@
 
 
 def test_old_process_reads_the_old_body_and_the_new_process_the_new_one():
-    """A new schema rolls out: for a while processes of both releases read the same row. Each must
-    go on with the body that it knows, and a body that it does not know must not stop it.
+    """During the rollout of a new schema, processes of both releases read the same row. Each must
+    use the newest body that it supports, and a body that it does not support must not stop it.
     """
     old = record_schemas["class", 1]("hold", 100, 0.7, 5.0, True, False)
     bodies = {1: encode_record(old), 2: encode_record(HOLD), 9: b"\xff"}
@@ -153,6 +156,6 @@
 
 
 @pytest.mark.parametrize("item", SAMPLES, ids=lambda item: item.kind)
-def test_record_survives_the_table(item):
+def test_record_round_trips(item):
     decoded = decode_record(item.kind, item.name, {item.schema: encode_record(item)})
     assert decoded.ok() == item
--- a/packages/burdockquay-state/src/burdockquay_state/tests/test_record_log.py
+++ b/packages/burdockquay-state/src/burdockquay_state/tests/test_record_log.py
@@ -1,4 +1,4 @@
-"""The record log: races, lost confirmations, outages and old answers of the table."""
+"""The record log under races, lost confirmations, outages and stale reads of the table."""
 
 import asyncio
 
@@ -41,9 +41,9 @@
     assert (await log.read_after(1)).ok().entries == part.entries[1:]
 
 
-async def test_loser_of_a_race_learns_who_won_and_what_changed(log):
-    """Two operators read the same record and both write it. The second one would silently undo
-    the first one's change; instead it is refused and told of it.
+async def test_rejected_author_gets_the_competing_change(log):
+    """Two operators read the same record and both write it. The second write would silently undo
+    the first one; it is refused instead, and the refusal names the first change.
     """
     await log.put([GROUP], "ada", 0, 1.0)
     changed = GroupRecord("desk", places=6)
@@ -61,7 +61,7 @@
     assert [str(change) for change in winner.changes] == ["places (schema 1): 4 -> 6"]
 
 
-async def test_change_of_another_record_does_not_refuse(log):
+async def test_change_of_another_record_is_no_conflict(log):
     await log.put([GROUP], "ada", 0, 1.0)
     results = await asyncio.gather(
         log.put([GroupRecord("desk", places=6)], "ada", 1, 2.0), log.put([HOLD], "bo", 0, 2.0)
@@ -70,9 +70,9 @@
 
 
 @pytest.mark.parametrize("takes_effect", [True, False])
-async def test_lost_confirmation_is_found_out_by_reading_back(log, table, takes_effect):
-    """The table answers a write too late. The operator must not be told that the change failed
-    when it is in force, nor the other way round; the log row tells, and it is written once.
+async def test_lost_confirmation_is_resolved_by_reading_back(log, table, takes_effect):
+    """The table answers a write too late. The change must not be reported as failed if it is in
+    force, nor as accepted if it is not. The log row shows which, and it is written only once.
     """
     table.lost_confirmations = [takes_effect]
     accepted = (await log.put([GROUP], "ada", 0, 1.0)).ok()
@@ -81,9 +81,9 @@
     assert (await log.head()).ok() == 1
 
 
-async def test_outcome_that_cannot_be_read_back_is_called_unknown(log, table):
-    """The confirmation is lost and the table goes down before the change can be read back. The
-    operator hears that the outcome is unknown, and under which id the log would show the change.
+async def test_outcome_that_cannot_be_read_back_is_reported_as_unknown(log, table):
+    """The confirmation is lost, and the table becomes unavailable before the change can be read
+    back. The refusal says that the outcome is unknown and has the id of the change in the log.
     """
     transact = table.transact
 
@@ -107,9 +107,9 @@
     assert (await log.head()).ok() == 0
 
 
-async def test_mixture_of_old_and_new_pages_is_never_a_configuration(log, table):
-    """The table answers the head from now and the records from before the last change. A process
-    that took this for the configuration of the head would miss the change for ever.
+async def test_inconsistent_pages_are_never_returned_as_a_configuration(log, table):
+    """The table returns the current head but the records from before the last change. A process
+    that used this as the configuration of the head revision would never receive the change.
     """
     await log.put([GROUP], "ada", 0, 1.0)
     await log.put([GroupRecord("desk", places=6)], "ada", 1, 2.0)
@@ -120,7 +120,7 @@
     assert (await log.read_all()).err() is not None
 
 
-async def test_writer_with_old_reads_neither_overwrites_nor_lies(log, table):
+async def test_writer_with_stale_reads_neither_overwrites_nor_misreports(log, table):
     await log.put([GROUP], "ada", 0, 1.0)
     await log.put([GroupRecord("desk", places=6)], "bo", 1, 2.0)
     table.stale_reads = [1] * 6
@@ -130,7 +130,7 @@
     assert (await log.put([GroupRecord("desk", places=2)], "ada", 2, 3.0)).ok().revision == 3
 
 
-async def test_withdrawal_of_what_is_in_use_names_every_user(log):
+async def test_withdrawal_of_a_referenced_record_names_every_reference(log):
     await log.commit([change_of([item], 0) for item in (GROUP, HOLD, ROUTE)], "ada", 1.0)
     refusal = (await log.withdraw("class", "hold", "ada", 2, 2.0)).err()
     assert refusal.kind is RefusalKind.INVALID
@@ -155,8 +155,8 @@
     assert (await log.put([ROUTE], "ada", 0, 1.0, dry_run=True)).err().faults
 
 
-async def test_reader_behind_the_kept_log_gets_the_whole(table):
-    log = RecordLog(table, kept=3)
+async def test_reader_older_than_the_kept_log_gets_the_complete_configuration(table):
+    log = RecordLog(table, max_log_rows=3)
     for revision in range(6):
         record = GroupRecord("desk", places=revision + 1)
         assert (await log.put([record], "ada", revision, 1.0)).ok().revision == revision + 1
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("author", ["", "ada\x1b[2J", "a" * 65])
-async def test_author_that_others_could_not_read_is_refused(log, author):
+async def test_invalid_author_is_refused(log, author):
     refusal = (await log.put([GROUP], author, 0, 1.0)).err()
     assert [fault.key for fault in refusal.faults] == ["author"]
     assert (await log.head()).ok() == 0
