--- a/benchmarks/_accounting.py
+++ b/benchmarks/_accounting.py
@@ -1,4 +1,4 @@
-"""What the operating system has counted for a process: processor time, memory, socket traffic."""
+"""Operating-system counters of a process: processor time, memory, socket traffic."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 @attrs.frozen
 class Reading:
-    """Counters of one process at one moment.
+    """Counters of one process at one point in time.
 
     Parameters
     ----------
     at_s : float
-        Monotonic clock.
+        Time of the reading on the monotonic clock, seconds.
     cpu_s : float
-        Processor time of all threads, user and system.
+        Processor time of all threads, user and system, seconds.
     rss_mb : float
         Resident memory, shared pages of libraries included.
     private_mb : float
-        Resident anonymous memory: what another process does not share.
+        Resident anonymous memory, which is not shared with other processes.
     bytes_read, bytes_written : int
-        Bytes that went through the calls ``read`` and ``write``; the processes have no files, so
-        these are the bytes of their TCP sockets (and of log lines).
+        Bytes passed to ``read`` and ``write`` system calls. The processes use no files, so these
+        are the bytes of their TCP sockets and of log lines.
     calls : int
-        Those calls.
+        Number of those system calls.
     """
 
     at_s: float
@@ -44,8 +44,8 @@
     """Return the counters of a process."""
     directory = Path(f"/proc/{pid}")
     threads = (directory / "task").iterdir()
-    # The scheduler counts nanoseconds; the usual process times count 10 ms and would show an idle
-    # process as 0 % or 1 % of a core.
+    # The scheduler statistics have nanosecond resolution. The usual process times have 10 ms, which
+    # would show an idle process as 0 % or 1 % of a core.
     cpu_s = sum(int((t / "schedstat").read_text().split()[0]) for t in threads) * SWITCH_NS
     status = _fields(directory / "status")
     io = _fields(directory / "io")
--- a/benchmarks/_balancer.py
+++ b/benchmarks/_balancer.py
@@ -1,4 +1,4 @@
-"""Callers behind a balancer: each call goes to an entry that was ready at the last look."""
+"""Callers behind a load balancer that sends each call to an entry ready at the last poll."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from _harness import Cluster
 
 LOOK_S = 0.1
-"""Time between two looks at the readiness of an entry, seconds."""
+"""Time between two readiness polls of an entry, seconds."""
 
 NOT_TAKEN = ("connect", "leaving", "not_ready")
-"""Errors on which a balancer sends the request to another entry: it was not taken."""
+"""Errors that mean that the entry did not accept the call; it is sent to another entry."""
 
 TRIES = 4
 
 
 @attrs.define
 class BalancerCounts:
-    """What the callers got.
+    """Counts of the callers' results.
 
     Parameters
     ----------
-    outcomes : dict of str to int
     moved : int
-        Calls sent again because the first entry did not take them.
+        Calls retried because an entry did not accept them.
     whole : int
+        Complete answers.
     cut : list of CallResult
-        Neither a whole answer nor a refusal.
+        Results that are neither a complete answer nor a refusal.
     refused : dict of str to int
-        By error kind.
+        Refusals by error kind.
     """
 
     moved: int = 0
@@ -44,7 +44,7 @@
 
 
 class Balancer:
-    """Sends a steady load to the entries that are ready.
+    """Load balancer that sends a constant rate of calls to ready entries.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
     async def run(
         self, path: str, template: PlannedCall, rate: float, stop: asyncio.Event
     ) -> BalancerCounts:
-        """Send ``rate`` calls a second until told to stop, then wait for the answers."""
+        """Send ``rate`` calls per second until ``stop`` is set, then wait for the answers."""
         async with new_session() as session:
             looking = asyncio.create_task(self._look(session))
             while not self._ready:
--- a/benchmarks/_callers.py
+++ b/benchmarks/_callers.py
@@ -1,4 +1,4 @@
-"""Callers: send planned requests to entries and judge each answer against the expected one."""
+"""Callers that send planned requests to entries and compare each answer with the expected one."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 @attrs.frozen
 class PlannedCall:
-    """A request that a caller is to send.
+    """A request to be sent by a caller.
 
     Parameters
     ----------
     at_s : float
-        When, seconds behind the start of the plan.
+        Sending time, seconds after the start of the plan.
     url : str
-        The whole URL.
+        Complete URL.
     organisation, class_name, api_key : str
     body : dict
     patience_s : float
-        When the caller leaves if the answer is not whole, seconds.
+        Time after which the caller disconnects if the answer is not complete, seconds.
     key : str
         Idempotency key; empty for none.
     service_path : str
-        Path and query that a plain service is to see; empty for a chat request.
+        Path and query expected at a plain service; empty for a chat request.
     """
 
     at_s: float
@@ -50,38 +50,38 @@
 
     @property
     def content(self) -> bytes:
-        """The body as it is sent."""
+        """Encoded request body."""
         return json.dumps(self.body).encode()
 
 
 @attrs.frozen
 class CallResult:
-    """What a caller got.
+    """Result of one call.
 
     Parameters
     ----------
     organisation, class_name : str
     outcome : str
-        ``"whole"``, ``"refused"``, ``"left"`` (the caller's patience ended), ``"broken"`` (an
-        explicit error or a cut stream), ``"truncated"`` (looked whole but lacks tokens) or
-        ``"mixed"`` (holds tokens that do not belong to it).
+        ``"whole"`` (complete), ``"refused"``, ``"left"`` (the caller's patience ended),
+        ``"broken"`` (an explicit error or an interrupted stream), ``"truncated"`` (ended normally
+        but lacks tokens) or ``"mixed"`` (contains tokens of another answer).
     status : int
         HTTP status, 0 if there was none.
     error : str
-        Error kind of a refusal or break, ``"connection"`` if the connection broke, ``"connect"``
-        if there was none.
+        Error kind of a refusal or an interruption; ``"connection"`` if the connection was lost,
+        ``"connect"`` if none could be opened.
     first_token_s : float
-        From sending to the first token, seconds; for a whole answer that is not streamed, to its
+        Time from sending to the first token, seconds; for an answer that is not streamed, to its
         end.
     between_tokens_s : float
-        Mean time between the later tokens, seconds.
+        Mean time between tokens after the first, seconds.
     longest_gap_s : float
     tokens : int
     duration_s : float
     run : str
-        What a refusal says of whether it ran.
+        Whether the request ran, as stated by the error.
     at_s : float
-        When it was sent, seconds behind the start of the plan.
+        Planned sending time, seconds after the start of the plan.
     key : str
         Idempotency key of the call.
     """
@@ -102,7 +102,7 @@
 
 
 def new_session() -> aiohttp.ClientSession:
-    """Return a client without a limit on connections, which repeats nothing by itself."""
+    """Return a client without a connection limit and without automatic retries."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0),
         timeout=aiohttp.ClientTimeout(total=REQUEST_LIMIT_S, sock_connect=CONNECT_TIMEOUT_S),
@@ -112,7 +112,7 @@
 async def run_plan(
     calls: Sequence[PlannedCall], seed: int, start_at: float | None = None
 ) -> list[CallResult]:
-    """Send every call at its time, whatever the earlier ones do, and return all results.
+    """Send every call at its planned time (open loop) and return all results.
 
     Parameters
     ----------
@@ -120,7 +120,7 @@
     seed : int
         Seed of the engines.
     start_at : float or None
-        Reading of the monotonic clock at which the plan starts; None for now.
+        Start of the plan on the monotonic clock; None for now.
     """
     start_at = time.monotonic() if start_at is None else start_at
     async with new_session() as session:
@@ -136,7 +136,7 @@
 
 
 async def send(session: aiohttp.ClientSession, call: PlannedCall, seed: int) -> CallResult:
-    """Send one call and judge its answer."""
+    """Send one call and classify its answer."""
     reader = _AnswerReader(call, seed)
     try:
         async with asyncio.timeout(call.patience_s):
@@ -151,7 +151,7 @@
 
 
 class _AnswerReader:
-    """Reads one answer and notes when its tokens came."""
+    """Reader of one answer that records the arrival times of its tokens."""
 
     def __init__(self, call: PlannedCall, seed: int):
         self.call = call
@@ -194,7 +194,7 @@
                 self._read_error()
 
     def judge(self) -> CallResult:
-        """Compare the answer with the expected one."""
+        """Classify the answer by comparing it with the expected one."""
         if self.status != 200:
             return self.result("refused", error=self.error)
         if self.error:
@@ -210,7 +210,7 @@
         return self.result("whole" if tokens == expected else "truncated")
 
     def result(self, outcome: str, error: str = "") -> CallResult:
-        """Return the result with what was measured."""
+        """Return the result with the measurements so far."""
         later = max(1, self._seen - 1)
         return CallResult(
             organisation=self.call.organisation,
--- a/benchmarks/_closed_loop.py
+++ b/benchmarks/_closed_loop.py
@@ -1,7 +1,7 @@
-"""Closed-loop load: a fixed number of callers, each with one request at a time.
+"""Closed-loop load from a fixed number of callers, each with one request in flight.
 
-Runs as a program of its own, ``_closed_loop.py PLAN RESULT``, so that several of them can load one
-entry; a single Python process can't.
+Runs as a separate program, ``_closed_loop.py PLAN RESULT``, so that several processes can saturate
+one entry; a single Python process cannot.
 """
 
 from __future__ import annotations
@@ -22,25 +22,25 @@
 from burdockquay_standins import expected_answer
 
 STOP_MARGIN_S = 20.0
-"""How long the callers may take to end behind the measured time, seconds."""
+"""Time allowed for the callers to exit after the measured time, seconds."""
 
 
 @attrs.frozen
 class LoopPlan:
-    """What one process of callers does.
+    """Load sent by one process of callers.
 
     Parameters
     ----------
     urls : list of str
-        Whole URLs, taken in turn by the callers.
+        Complete URLs, used in rotation by the callers.
     callers : int
     body : dict
-        Body of each request; the prompt gets a number of its own.
+        Body of each request; each prompt is made unique by a number.
     organisation, class_name, api_key : str
     seed : int
         Seed of the engines.
     warm_s, measured_s : float
-        How long answers are not counted, and how long they are, seconds.
+        Warm-up time, in which answers are not counted, and measured time after it, seconds.
     first_number : int
         Number of the first prompt.
     """
@@ -59,7 +59,7 @@
 
 @attrs.define
 class LoopCounts:
-    """What the callers of one process, or of several, got in the measured time."""
+    """Counts of one or several processes of callers during the measured time."""
 
     requests: int = 0
     tokens: int = 0
@@ -75,7 +75,7 @@
 
 
 async def run_loop(plan: LoopPlan, start_at: float) -> LoopCounts:
-    """Run the callers of one process from ``start_at`` on the monotonic clock."""
+    """Run the callers of one process, starting at ``start_at`` on the monotonic clock."""
     counts = LoopCounts()
     async with new_session() as session:
         await asyncio.sleep(max(0.0, start_at - time.monotonic()))
@@ -111,7 +111,7 @@
 
 
 async def run_processes(processes: Processes, plan: LoopPlan, count: int, name: str) -> LoopCounts:
-    """Divide the callers of a plan over processes and return their counts together."""
+    """Divide the callers of a plan among processes and return the summed counts."""
     names = [f"{name}-{index}" for index in range(count)]
     share = attrs.evolve(plan, callers=plan.callers // count)
     commands = [
@@ -135,7 +135,7 @@
 async def _read_counts(processes: Processes, caller: Process, limit_s: float) -> LoopCounts:
     status = await caller.wait(limit_s)
     if status != 0:
-        raise RuntimeError(f"{caller.name} ended with {status}: {caller.log_tail()}")
+        raise RuntimeError(f"{caller.name} exited with status {status}: {caller.log_tail()}")
     answer = processes.directory / f"{caller.name}.result.json"
     return LoopCounts(**json.loads(answer.read_text()))
 
--- a/benchmarks/_control_stages.py
+++ b/benchmarks/_control_stages.py
@@ -1,4 +1,4 @@
-"""The measured process, its crowd of peers, and the windows in which its cost is read."""
+"""The measured process, its peers, and the time windows in which its cost is measured."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 WINDOW_S = 1.1
 IDLE_WINDOW_S = 2.6
-"""Long enough for the heartbeats, which go out every second."""
+"""Window of an idle process, seconds: long enough for the heartbeats, sent every second."""
 SETTLE_S = 0.25
 GROWN_S = 0.8
-"""Wait after peers have joined, until they have the configuration, seconds."""
+"""Time for new peers to receive the configuration, seconds."""
 SEED = 1
 GROUP = GroupRecord(name="advisor", models=["standin"], places=64, subset=256)
 DOMAIN = "medeu"
 FIRST_CLASS = "class-0"
 FIRST_ORGANISATION = "org-0"
 COMMIT_RECORDS = 50
-"""Records put in one transaction while a stage is prepared; the most that are accepted together."""
+"""Records put per transaction while a stage is prepared: the largest accepted number."""
 
 
 @attrs.frozen
@@ -43,16 +43,16 @@
     ----------
     role, stage : str
     x : float
-        Value of what the stage varies.
+        Value of the quantity that the stage varies.
     cpu_share : float
-        Of one core.
+        Processor time as a share of one core.
     rss_mb, private_mb : float
     read_bytes_per_s, written_bytes_per_s : float
         TCP payload.
     messages_received_per_s, messages_sent_per_s : float
-        On the connections between the processes.
+        Messages on the connections between processes.
     peer_bytes_per_s : float
-        Payload of those messages, both directions, as the process counts it.
+        Payload of those messages in both directions, as counted by the process.
     window_s : float
     """
 
@@ -82,14 +82,14 @@
 
 
 def make_organisation(index: int, change: int = 0) -> Any:
-    """Return one of the organisations; another ``change`` gives another record."""
+    """Return one of the organisations; a different ``change`` gives a different record."""
     return organisation_record(
         f"org-{index}", requests_per_s=1000.0 + change, outstanding=100_000, weight=1.0
     )
 
 
 class Bench:
-    """A measured process and its crowd.
+    """A measured process and its peers, which run in another process.
 
     Parameters
     ----------
@@ -106,7 +106,7 @@
         self._changes = 0
 
     async def start(self) -> None:
-        """Start platform, engine, the measured process and the empty crowd."""
+        """Start the platform, an engine, the measured process and an empty pool of peers."""
         cluster = self.cluster
         await cluster.start_platform()
         engine = EngineParameters(
@@ -141,7 +141,7 @@
         return await self.cluster.processes.start("crowd", command)
 
     async def grow_crowd(self, count: int) -> None:
-        """Have ``count`` peers connected to the measured process."""
+        """Start peers until ``count`` are connected to the measured process."""
         url = f"{self.crowd.url}/grow"
         async with self.cluster.session.post(url, json={"count": count}) as response:
             response.raise_for_status()
@@ -167,7 +167,7 @@
         return await self.cluster.read_json(f"{self.process.status_url}/status")
 
     async def put_organisations(self, low: int, high: int) -> None:
-        """Put the organisations from ``low`` up to but without ``high``."""
+        """Put the organisations from ``low`` to ``high``, exclusive."""
         await self._put_new([make_organisation(index) for index in range(low, high)])
 
     async def put_classes(self, low: int, high: int) -> None:
@@ -183,7 +183,7 @@
             accepted.unwrap()
 
     async def list_vms(self, low: int, high: int) -> None:
-        """Put VMs on the platform's list to which nobody connects."""
+        """Add VMs to the platform's list to which no process connects."""
         entries = [
             VmEntry(f"other-entry-{i}", "entry", "127.0.0.1", 9, 9, DOMAIN)
             for i in range(low, high)
@@ -192,7 +192,7 @@
             await asyncio.gather(*map(self.cluster.put_vm, entries[start : start + 100]))
 
     async def settle(self) -> None:
-        """Wait until the latest revision is in force and spreads no further."""
+        """Wait until the latest revision is in force in every process and updates have stopped."""
         head = (await self.cluster.log.head()).unwrap()
         while await self._lowest_revision() < head:
             await asyncio.sleep(0.05)
@@ -210,16 +210,16 @@
         work: Callable[[], Awaitable[float]] | None = None,
         window_s: float = WINDOW_S,
     ) -> Sample:
-        """Read the cost of one window, in which ``work`` goes on.
+        """Measure the cost of one window while ``work`` runs.
 
         Parameters
         ----------
         stage : str
         x : float
-            Value of what is varied; what ``work`` returns takes its place.
+            Value of the varied quantity; replaced by the result of ``work``.
         work : callable or None
         window_s : float
-            Length of the window if there is no work, seconds.
+            Length of the window without work, seconds.
         """
         await self.settle()
         before, first = await self._read_status(), read_process(self.process.process.pid)
@@ -233,7 +233,7 @@
         return sample
 
     def reuse(self, sample: Sample, stage: str, x: float) -> None:
-        """Take a sample as the first of another stage: nothing that matters has changed since."""
+        """Use a sample as the first of another stage, if no relevant condition has changed."""
         self.samples.append(attrs.evolve(sample, stage=stage, x=x))
 
     def _compare(
@@ -261,7 +261,7 @@
         )
 
     async def change_records(self, per_s: float) -> float:
-        """Change one record at a time for a window; return the changes a second achieved."""
+        """Change one record at a time for a window; return the achieved changes per second."""
         started = time.monotonic()
         done = 0
         while time.monotonic() < started + WINDOW_S:
@@ -273,20 +273,20 @@
         return done / (time.monotonic() - started)
 
     async def measure_vm_list(self) -> float:
-        """Return the bytes that one VM takes in the platform's list."""
+        """Return the mean size of a VM in the platform's list, bytes."""
         async with self.cluster.session.get(f"{self.cluster.platform.url}/vms") as response:
             content = await response.read()
         return len(content) / len(json.loads(content)["vms"])
 
     async def call(self, per_s: float, tokens: int, count_tokens: bool) -> float:
-        """Send streamed requests for a window; return requests or tokens a second."""
+        """Send streamed requests for a window; return requests or tokens per second."""
         count = round(per_s * WINDOW_S)
         calls = [self._plan_call(index, per_s, tokens) for index in range(count)]
         started = time.monotonic()
         results = await run_plan(calls, SEED)
         wrong = [result for result in results if result.outcome != "whole"]
         if wrong:
-            raise RuntimeError(f"expected whole answers only, got {wrong[0]}")
+            raise RuntimeError(f"expected complete answers only, got {wrong[0]}")
         done = count * tokens if count_tokens else count
         return done / (time.monotonic() - started)
 
--- a/benchmarks/_crowd.py
+++ b/benchmarks/_crowd.py
@@ -1,8 +1,8 @@
-"""Many slots or many entries in one process, as the peers of a measured process.
+"""Many slots or entries in one process, used as peers of a measured process.
 
 ``python benchmarks/_crowd.py slots|entries SETTINGS`` prints its port as one JSON line.
-``POST /grow {"count": n}`` starts members until there are ``n`` and answers with the VM list's
-entries of the new ones; ``GET /revision`` answers with the lowest revision in force among them.
+``POST /grow {"count": n}`` starts members until there are ``n`` and returns the VM list entries of
+the new ones. ``GET /revision`` returns the lowest revision in force among the members.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class Crowd:
-    """Members of one role in this process.
+    """Slots or entries that run in this process.
 
     Parameters
     ----------
     kind : str
         ``"slots"`` or ``"entries"``.
     settings : dict
-        Settings that all members share.
+        Settings shared by all members.
     """
 
     def __init__(self, kind: str, settings: dict[str, Any]):
@@ -46,13 +46,13 @@
         self.members: list[Any] = []
 
     async def grow(self, request: web.Request) -> web.Response:
-        """Start members; see the module's text."""
+        """Start members; see the module docstring."""
         wanted = (await request.json())["count"]
         entries = [await self._add(index) for index in range(len(self.members), wanted)]
         return web.json_response([attrs.asdict(e) | {"state": e.state.value} for e in entries])
 
     async def read_revision(self, _: web.Request) -> web.Response:
-        """Return the revision that every member has; see the module's text."""
+        """Return the lowest revision in force; see the module docstring."""
         revisions = [member.describe()["revision"] for member in self.members]
         return web.json_response({"revision": min(revisions, default=None)})
 
@@ -76,7 +76,7 @@
 
 
 async def run(kind: str, settings: dict[str, Any]) -> None:
-    """Serve until a signal comes."""
+    """Serve until SIGTERM or SIGINT is received."""
     stopped = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stopped.set)
--- a/benchmarks/_deployments.py
+++ b/benchmarks/_deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments that the benchmarks measure, with their classes, groups and demand."""
+"""The two measured deployments, with their classes, groups and demand."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 @attrs.frozen
 class EngineGroup:
-    """A group of equal engines.
+    """A group of identical engines.
 
     Parameters
     ----------
     name : str
     count : int
-        Engines.
+        Number of engines.
     engine : EngineParameters
     """
 
@@ -45,7 +45,7 @@
 
     @property
     def tokens_per_s(self) -> float:
-        """Tokens a second that the group generates with every place in use."""
+        """Tokens generated per second with every place in use."""
         engine = self.engine
         step_s = engine.base_step_s + engine.per_running_s * engine.places
         return self.count * engine.places / step_s
@@ -53,17 +53,17 @@
 
 @attrs.frozen
 class Demand:
-    """What is asked for in one class.
+    """Offered load of one class.
 
     Parameters
     ----------
     class_name, group : str
     load : float
-        Offered tokens as a multiple of what the group can generate.
+        Offered tokens as a multiple of the group's capacity.
     max_tokens : int
-        Limit on one answer.
+        Limit on the length of one answer.
     patience_s : float
-        When a caller leaves if its answer is not whole, seconds.
+        Time after which a caller disconnects if its answer is not complete, seconds.
     """
 
     class_name: str
@@ -86,7 +86,7 @@
     classes : mapping of str to ClassRecord
     demand : tuple of Demand
     organisations : mapping of str to float
-        Weight by organisation, which is also its part of the offered load.
+        Weight by organisation, which is also its share of the offered load.
     """
 
     name: str
@@ -98,7 +98,7 @@
     organisations: Mapping[str, float]
 
     def group(self, name: str) -> EngineGroup:
-        """Return a group by its name."""
+        """Return the group with a name."""
         return next(group for group in self.groups if group.name == name)
 
     def records(self) -> list[Any]:
@@ -114,10 +114,11 @@
         return [PolicyRecord(), *self.classes.values(), *groups, *organisations, *routes]
 
     def baseline_records(self) -> list[Any]:
-        """Return the records that turn the deployment into first-in-first-out on random engines.
+        """Return the records of the baseline: first in, first out, on randomly chosen engines.
 
-        The checks refuse a protected class without a means to protect it, so no class is protected.
-        Nor is a request refused for its wait: each runs in its turn if its caller is still there.
+        Validation rejects a protected class when both reservation and preemption are off, so no
+        class is protected. No request is refused for its waiting time either: each runs in order
+        if its caller is still connected.
         """
         classes = [
             attrs.evolve(item, protected=False, patience_s=BASELINE_PATIENCE_S)
@@ -188,7 +189,7 @@
 
 
 def dala(engine: EngineParameters) -> Deployment:
-    """Return the subscription platform on a Monday rush: 9 advisor and 4 order-desk engines."""
+    """Return a subscription platform at its weekly peak: 9 advisor and 4 order-desk engines."""
     return Deployment(
         name="dala",
         domains=("medeu", "bostandyk", "auezov", "turksib"),
@@ -211,7 +212,7 @@
 
 
 def klidne(engine: EngineParameters) -> Deployment:
-    """Return the funeral bookings on a morning of bereavements: 6 and 3 engines."""
+    """Return a funeral booking service at a peak: 6 drafting and 3 booking-desk engines."""
     return Deployment(
         name="klidne",
         domains=("praha-hall", "plzen-hall", "kolin-hall"),
--- a/benchmarks/_era_claims.py
+++ b/benchmarks/_era_claims.py
@@ -1,4 +1,4 @@
-"""Requests that run at most once, over a return of their platform's table from a copy."""
+"""At-most-once requests while the platform's table is restored from a copy."""
 
 from __future__ import annotations
 
@@ -24,30 +24,30 @@
 KEYS_PER_S = 40.0
 REPEATS = 3
 REPEAT_S = (0.1, 2.0)
-"""Pause before a caller repeats a key through any entry, seconds."""
+"""Range of the pause before a caller resends a key through a random entry, seconds."""
 
 COPY_S = 0.1
 COPY_AGE_S = 2.0
 AWAY_AT_S = 3.0
 AWAY_S = 1.0
 AFTER_S = 6.0
-"""Time from the return to the last new key, seconds."""
+"""Time from the restoration to the last new key, seconds."""
 
 SEED = 1
 
 
 @attrs.define
 class ClaimsOutcome:
-    """What a play shows.
+    """Result of a simulation.
 
     Parameters
     ----------
     keys : int
-        Keys of callers, each of which was sent some times.
+        Number of keys, each sent several times.
     answered : int
-        Keys to which a caller got a whole answer.
+        Keys for which a caller received a complete answer.
     claims_twice : int
-        Keys that ran more than once.
+        Keys whose request ran more than once.
     """
 
     keys: int = 0
@@ -56,7 +56,7 @@
 
 
 class ClaimsPlay:
-    """Callers that repeat their keys while the table goes away and comes back."""
+    """Callers that resend their keys while the table fails and is restored from a copy."""
 
     def __init__(self):
         self.rng = random.Random(SEED)
@@ -65,7 +65,7 @@
         self._asked: set[str] = set()
 
     async def run(self) -> ClaimsOutcome:
-        """Play and return what it showed."""
+        """Run the simulation and return its result."""
         async with Deployment(engines=0, services=SERVICES, entries=ENTRIES, era=1) as running:
             self.running = running
             table = running.platform.table
@@ -102,7 +102,7 @@
             await asyncio.sleep(1 / KEYS_PER_S)
 
     async def _repeat(self, key: str) -> None:
-        """Send a key some times, whatever the answers are."""
+        """Send a key several times, regardless of the answers."""
         self._asked.add(key)
         for _ in range(1 + REPEATS):
             if await self._call(key):
@@ -120,7 +120,7 @@
 
 
 def play_claims() -> ClaimsOutcome:
-    """Play in a new event loop and return what it showed."""
+    """Run the simulation in a new event loop and return its result."""
     with (
         logbook.NullHandler().applicationbound(),
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
--- a/benchmarks/_fit.py
+++ b/benchmarks/_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points."""
+"""Least-squares lines through measured points."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     ----------
     slope, intercept : float
     residual : float
-        Root mean square distance of the points from the line.
+        Root mean square residual.
     low, high : float
         Smallest and largest ``x`` measured.
     points : int
@@ -50,6 +50,7 @@
     distances = columns @ (slope, intercept) - np.asarray(y, float)
     residual = float(np.sqrt(np.mean(distances**2)))
     figures = (float(slope), float(intercept), residual)
-    # Ten digits are more than any measurement has; they keep rounding errors out of the files.
+    # Ten decimals exceed the precision of any measurement; rounding to them keeps floating-point
+    # noise out of the files.
     slope, intercept, residual = (round(figure, 10) + 0.0 for figure in figures)
     return Line(slope, intercept, residual, float(min(x)), float(max(x)), len(x))
--- a/benchmarks/_forwarder_path.py
+++ b/benchmarks/_forwarder_path.py
@@ -1,4 +1,4 @@
-"""Cost of the path through a forwarder, against calling the upstream directly."""
+"""Latency through a forwarder, compared with calling the upstream directly."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 async def measure_forwarder(pairs: int, warm_up: int) -> tuple[list[float], list[float]]:
-    """Send the same plain request to an upstream and through a forwarder, in turn.
+    """Send the same plain request alternately to an upstream and through a forwarder.
 
     Parameters
     ----------
     pairs, warm_up : int
-        Pairs that are measured, and pairs before them.
+        Number of measured pairs of requests, and of warm-up pairs before them.
 
     Returns
     -------
     tuple of two lists of float
-        Seconds of each direct request, and of each through the forwarder.
+        Durations of the direct requests and of those through the forwarder, seconds.
     """
     async with World([make_route(ROUTE)]) as world:
         experiment = Experiment([Service(ROUTE, "safe", 1)], world=world)
@@ -51,5 +51,5 @@
     async with session.get(url, headers=world.headers()) as response:
         body = await response.read()
     if (response.status, body) != (200, b"done"):
-        raise RuntimeError(f"{url}: expected a whole answer, got {response.status} {body!r}")
+        raise RuntimeError(f"{url}: expected a complete answer, got {response.status} {body!r}")
     return time.perf_counter() - start
--- a/benchmarks/_harness.py
+++ b/benchmarks/_harness.py
@@ -1,6 +1,6 @@
-"""A deployment of real processes on the loopback: platform, upstreams, slots and entries.
+"""A deployment of real processes on loopback: platform, upstreams, slots and entries.
 
-Benchmarks and the demo start processes; the product never does.
+Only benchmarks and the demo start processes; the product itself never does.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 
 class Cluster:
-    """Processes of one benchmark; all are ended when the context is left.
+    """Processes of one benchmark, all stopped when the context exits.
 
     Parameters
     ----------
     name : str
-        Prefix of the directory for settings and logs.
+        Part of the name of the directory for settings and logs.
     keep : bool
-        Leave that directory behind.
+        Keep that directory on exit.
     delay_s : float or None
         One-way latency between entries and slots, seconds; None connects them directly.
 
@@ -81,7 +81,7 @@
 
     @property
     def log(self) -> RecordLog:
-        """The record log in the platform's table."""
+        """Record log in the platform's table."""
         return RecordLog(HttpTable(self.platform.url, TABLE_TIMEOUT_S, self.session))
 
     async def start_platform(self, parameters: PlatformParameters | None = None) -> Process:
@@ -101,23 +101,23 @@
     async def start_slot(
         self, vm: str, group: str, failure_domain: str, upstream_url: str, **settings: Any
     ) -> Process:
-        """Start a slot and put its VM on the list."""
+        """Start a slot and add its VM to the list."""
         settings |= {"group": group, "upstream_url": upstream_url}
         self.slots[vm] = await self._start_daemon("slot", vm, failure_domain, settings)
         return self.slots[vm]
 
     async def start_entry(self, vm: str, failure_domain: str, **settings: Any) -> Process:
-        """Start an entry and put its VM on the list."""
+        """Start an entry and add its VM to the list."""
         self.entries[vm] = await self._start_daemon("entry", vm, failure_domain, settings)
         return self.entries[vm]
 
     async def put_records(self, records: Sequence[Any], author: str = "bench") -> int:
-        """Put all records over whatever stands under their names; return the revision.
+        """Put all records, replacing any of the same names; return the revision.
 
         Raises
         ------
         RuntimeError
-            If a record is not accepted; none of them is then.
+            If a record is not accepted; none of them is put in that case.
         """
         changes = [change_of([item], await self._revision_put(item)) for item in records]
         accepted = await self.log.commit(changes, author, time.time())
@@ -126,7 +126,7 @@
         return accepted.unwrap().revision
 
     async def put_vm(self, entry: VmEntry) -> None:
-        """Put a VM on the platform's list, or replace it."""
+        """Add a VM to the platform's list, or replace its entry."""
         self.vms[entry.vm] = entry
         body = attrs.asdict(entry) | {"state": entry.state.value}
         async with self.session.put(f"{self.platform.url}/vms/{entry.vm}", json=body) as response:
@@ -137,45 +137,45 @@
         await self.put_vm(attrs.evolve(self.vms[vm], state=state))
 
     async def remove_vm(self, vm: str) -> None:
-        """Take a VM off the platform's list."""
+        """Remove a VM from the platform's list."""
         self.vms.pop(vm, None)
         await self.session.delete(f"{self.platform.url}/vms/{vm}")
 
     async def switch_faults(self, process: Process, **switches: Any) -> None:
-        """Set fault switches of a stand-in."""
+        """Set the fault switches of a stand-in."""
         async with self.session.post(f"{process.url}/faults", json=switches) as response:
             if response.status != 200:
                 raise RuntimeError(f"{process.name}: {await response.text()}")
 
     async def read_json(self, url: str) -> Any:
-        """Return what a read-only page shows."""
+        """Return the JSON content of a URL."""
         async with self.session.get(url) as response:
             return await response.json()
 
     async def wait_ready(self, limit_s: float = READY_LIMIT_S) -> None:
-        """Return when every slot and entry is ready.
+        """Wait until every slot and entry is ready.
 
         Raises
         ------
         RuntimeError
-            If one is not in time; holds the end of its log.
+            If one is not ready in time; the message contains the end of its log.
         """
         daemons = [*self.slots.values(), *self.entries.values()]
         await asyncio.gather(*(self._wait_for(daemon, limit_s) for daemon in daemons))
 
     async def wait_in_force(self, revision: int, limit_s: float = READY_LIMIT_S) -> None:
-        """Return when every slot and entry has the revision in force.
+        """Wait until every slot and entry has the revision in force.
 
         Raises
         ------
         RuntimeError
-            If one has not in time.
+            If one does not have it in time.
         """
         deadline = time.monotonic() + limit_s
         for daemon in (*self.slots.values(), *self.entries.values()):
             while await self._revision_of(daemon) < revision:
                 if time.monotonic() > deadline:
-                    raise RuntimeError(f"{daemon.name} has not revision {revision} in force")
+                    raise RuntimeError(f"{daemon.name} does not have revision {revision} in force")
                 await asyncio.sleep(POLL_S)
 
     async def _revision_put(self, item: Any) -> int:
--- a/benchmarks/_imports.py
+++ b/benchmarks/_imports.py
@@ -1,4 +1,4 @@
-"""Memory of the interpreter and of each library that a role imports."""
+"""Memory use of the interpreter and of each library that a role imports."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     "entry": "burdockquay_transport.entry",
     "slot": "burdockquay_transport.slot",
 }
-"""The module of each role."""
+"""Module of each role."""
 
 LIBRARIES = (
     "asyncio",
@@ -27,11 +27,11 @@
     "aiohttp",
     "aiohttp.web",
 )
-"""Libraries in the order in which they are imported, so that each is charged with what it adds."""
+"""Libraries in import order; each is charged with the memory that it adds."""
 
 
 async def measure_imports() -> list[dict[str, Any]]:
-    """Return, for each role, what every import in turn added to the memory of a new process."""
+    """Return, for each role, the memory that each import added to a new process."""
     results = []
     for role, module in BY_ROLE.items():
         command = (*LIBRARIES, module, "burdockquay.daemon")
@@ -44,7 +44,7 @@
 
 
 def import_in_turn(modules: list[str]) -> list[dict[str, Any]]:
-    """Import modules one by one and return what each added, MB."""
+    """Import modules one by one and return the memory that each added, MB."""
     rows = []
     rss, private = _read_memory()
     rows.append({"module": "interpreter", "rss_mb": rss, "private_mb": private})
--- a/benchmarks/_offered.py
+++ b/benchmarks/_offered.py
@@ -1,4 +1,4 @@
-"""The load that is offered to a deployment: which organisation asks for what and when."""
+"""The load offered to a deployment: which organisation sends which request, and when."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def plan_load(
     deployment: Deployment, urls: Sequence[str], duration_s: float, seed: int
 ) -> list[PlannedCall]:
-    """Return calls whose answers add up to the demanded multiple of the capacity.
+    """Return calls whose answers add up to the required multiple of the capacity.
 
     Parameters
     ----------
@@ -23,9 +23,9 @@
     urls : sequence of str
         Base URLs of the entries.
     duration_s : float
-        The calls are spread evenly at random over this time, seconds.
+        The calls are distributed uniformly at random over this time, seconds.
     seed : int
-        Decides everything; also the seed of the engines.
+        Seed of the random generator and of the engines.
     """
     rng = random.Random(f"{deployment.name} {seed}")
     names = list(deployment.organisations)
@@ -49,7 +49,7 @@
     organisation: str,
     times: int,
 ) -> list[PlannedCall]:
-    """Return what one organisation sends beyond its part to reach ``times`` its part."""
+    """Return the extra calls with which one organisation sends ``times`` its share of the load."""
     rng = random.Random(f"flood {deployment.name} {seed}")
     part = deployment.organisations[organisation] / sum(deployment.organisations.values())
     calls = []
--- a/benchmarks/_open_loop.py
+++ b/benchmarks/_open_loop.py
@@ -1,7 +1,7 @@
-"""Open-loop load from several processes: planned calls go out at their times.
+"""Open-loop load from several processes: calls are sent at their planned times.
 
-Runs as a program of its own, ``_open_loop.py PLAN RESULT``: one Python process that reads ten
-thousand streamed tokens a second notes their times too late.
+Runs as a separate program, ``_open_loop.py PLAN RESULT``: a single Python process that reads ten
+thousand streamed tokens per second would record their times too late.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         Seed of the engines.
     count : int
     name : str
-        Of the run; each must have its own.
+        Name of the run; must be unique.
     """
     names = [f"{name}-{index}" for index in range(count)]
     commands = [
@@ -55,7 +55,7 @@
 async def _read_results(processes: Processes, caller: Process) -> list[CallResult]:
     status = await caller.wait(LIMIT_S)
     if status != 0:
-        raise RuntimeError(f"{caller.name} ended with {status}: {caller.log_tail()}")
+        raise RuntimeError(f"{caller.name} exited with status {status}: {caller.log_tail()}")
     answer = processes.directory / f"{caller.name}.result.json"
     return [CallResult(**result) for result in json.loads(answer.read_text())]
 
--- a/benchmarks/_processes.py
+++ b/benchmarks/_processes.py
@@ -1,4 +1,4 @@
-"""Processes that a benchmark starts, speaks to by HTTP and ends by their ids."""
+"""Processes that a benchmark starts, calls over HTTP and ends by their process ids."""
 
 from __future__ import annotations
 
@@ -18,27 +18,27 @@
 START_LIMIT_S = 30.0
 STOP_LIMIT_S = 5.0
 BEGIN_S = 0.1
-"""From the word to the callers to their first request, seconds."""
+"""Time from the start command for the callers to their first request, seconds."""
 LOG_TAIL_CHARACTERS = 2000
 BIN = Path(sys.executable).parent
 
 
 class StartError(RuntimeError):
-    """A process did not say that it listens."""
+    """A process did not report that it listens."""
 
 
 @attrs.define
 class Process:
-    """A started process that listens on the loopback.
+    """A started process that listens on loopback.
 
     Parameters
     ----------
     name : str
     process : asyncio.subprocess.Process
     log : Path
-        Where its standard error goes.
+        File that receives its standard error.
     listening : dict
-        The line that it printed when it listened.
+        Decoded line that it printed once it listened, with its ports.
     """
 
     name: str
@@ -64,12 +64,13 @@
         return self.process.returncode is None
 
     async def read_listening(self) -> None:
-        """Wait for the line that tells the ports.
+        """Wait for the line that reports the ports.
 
         Raises
         ------
         StartError
-            If the process ends or stays silent; holds the end of its log.
+            If the process exits or prints nothing in time; the message contains the end of its
+            log.
         """
         try:
             line = await asyncio.wait_for(self.process.stdout.readline(), START_LIMIT_S)
@@ -79,17 +80,17 @@
         self._drain = asyncio.create_task(self._discard_output())
 
     def log_tail(self) -> str:
-        """Return the end of what the process wrote to its standard error."""
+        """Return the end of the process's standard error."""
         return self.log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:]
 
     def terminate(self) -> None:
-        """Ask the process to stop."""
+        """Send SIGTERM to the process."""
         if self.running:
             with contextlib.suppress(ProcessLookupError):
                 self.process.terminate()
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Send SIGKILL to the process."""
         if self.running:
             with contextlib.suppress(ProcessLookupError):
                 self.process.kill()
@@ -111,12 +112,12 @@
 
 
 class Processes:
-    """Starts processes and ends them all.
+    """Starts processes and stops all of them.
 
     Parameters
     ----------
     directory : Path
-        For settings and logs.
+        Directory for settings and logs.
     """
 
     def __init__(self, directory: Path):
@@ -125,7 +126,7 @@
         self.started: list[Process] = []
 
     async def start(self, name: str, command: Sequence[str]) -> Process:
-        """Start a command and return when it listens."""
+        """Start a command and wait until it listens."""
         process = await self.launch(name, command)
         await process.read_listening()
         return process
@@ -133,12 +134,13 @@
     async def start_callers(
         self, names: Sequence[str], commands: Sequence[Sequence[str]]
     ) -> list[Process]:
-        """Start programs of callers and tell them, once all are ready, when to begin.
+        """Start caller programs and, once all are ready, send them a common start time.
 
         Notes
         -----
-        On a busy machine a program may take seconds to start. Told a time beforehand it would send
-        all that is overdue at once, and the burst would be taken for a fault of the system.
+        On a busy machine a program may take seconds to start. With a start time fixed beforehand,
+        it would send all overdue calls at once, and the burst would look like a fault of the system
+        under test.
         """
         callers = await asyncio.gather(*map(self.launch, names, commands))
         await asyncio.gather(*(caller.read_listening() for caller in callers))
@@ -148,7 +150,7 @@
         return callers
 
     async def launch(self, name: str, command: Sequence[str]) -> Process:
-        """Start a command and return at once."""
+        """Start a command and return immediately."""
         log = self.directory / f"{name}.log"
         with log.open("ab") as errors:
             started = await asyncio.create_subprocess_exec(
@@ -163,7 +165,7 @@
         return process
 
     async def stop_all(self) -> None:
-        """Ask every process to stop, in the reverse order, and kill those that don't."""
+        """Terminate every process in reverse order of start, and kill those that do not exit."""
         for process in reversed(self.started):
             process.terminate()
         await asyncio.gather(*(process.wait() for process in self.started))
@@ -171,7 +173,7 @@
 
 
 def wait_for_start() -> float:
-    """Say that a program of callers is ready, and return when it shall begin."""
+    """Report that a caller program is ready, and return its start time on the monotonic clock."""
     print(json.dumps({"ready": True}), flush=True)
     return float(sys.stdin.readline())
 
@@ -179,8 +181,8 @@
 def _environment() -> dict[str, str]:
     """Return the environment of the processes, with compiled modules cached.
 
-    Where Python is told to write no compiled modules, each of some sixty processes would compile
-    every module again, which takes longer than the measurement. The cache then stands in the
+    If Python is set to write no compiled modules, each of about sixty processes would compile every
+    module again, which takes longer than the measurement. In that case the cache is kept in the
     directory for temporary files.
     """
     environment = {k: v for k, v in os.environ.items() if k != "PYTHONDONTWRITEBYTECODE"}
@@ -191,7 +193,7 @@
 
 
 def standin_command(kind: str, parameters: Any = None) -> list[str]:
-    """Return the command of a stand-in with its parameters, an attrs object, as options."""
+    """Return the command of a stand-in, with the fields of an attrs object as options."""
     command = [sys.executable, "-m", "burdockquay_standins", kind, "--port", "0"]
     for name, value in attrs.asdict(parameters).items() if parameters is not None else ():
         option = "--" + name.replace("_", "-")
--- a/benchmarks/_records.py
+++ b/benchmarks/_records.py
@@ -1,4 +1,4 @@
-"""Records that benchmarks and demo put: organisations with known keys and shorthand for routes."""
+"""Records for benchmarks and the demo: organisations with known API keys, and class routes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def api_key(organisation: str) -> str:
-    """Return the API key of an organisation of a benchmark."""
+    """Return the API key of a benchmark organisation."""
     return f"{organisation}.secret-of-{organisation}"
 
 
@@ -22,7 +22,7 @@
 
 
 def class_route(class_name: str, group: str) -> RouteRecord:
-    """Return the route of chat requests whose class header names the class."""
+    """Return the route for chat requests whose service class header names the class."""
     return RouteRecord(
         name=f"chat-{class_name}",
         class_name=class_name,
--- a/benchmarks/_report.py
+++ b/benchmarks/_report.py
@@ -1,4 +1,4 @@
-"""What a benchmark prints: tables for people, one JSON object as the last line."""
+"""Output of a benchmark: readable tables, then one JSON object as the last line."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def print_table(title: str, header: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Print rows in columns."""
+    """Print rows in aligned columns."""
     cells = [list(header), *([_format(cell) for cell in row] for row in rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
     print(f"\n{title}")
@@ -24,12 +24,12 @@
 
 
 def print_load_average() -> None:
-    """Print how busy the machine was; above one per processor, latencies tell of the machine."""
+    """Print the load average; above one per processor, latencies are dominated by the machine."""
     print(f"\nLoad average {os.getloadavg()[0]:.1f} on {os.cpu_count()} processors")
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Return the value that a share of the values does not exceed; 0 if there are none.
+    """Return a quantile of the values; 0 if there are none.
 
     Examples
     --------
--- a/benchmarks/_spread.py
+++ b/benchmarks/_spread.py
@@ -1,4 +1,4 @@
-"""Watches which revision every process has in force, and when."""
+"""Monitoring of the configuration revision that each process has in force."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from _processes import Process
 
 LOOK_S = 0.1
-"""Time between two looks at a process, seconds; the times found are too long by up to it."""
+"""Time between two polls of a process, seconds; measured delays are too long by up to this."""
 
 
 @attrs.define
 class Seen:
-    """What one incarnation showed.
+    """Revisions reported by one incarnation of a process.
 
     Parameters
     ----------
     first_at : float
         Time of the first answer with a configuration.
     reached : list of (float, int)
-        Time and revision, whenever it changed.
+        Time and revision of each change.
     last_at : float
         Time of the last answer.
     reverts : int
-        How often the revision went down.
+        Number of times that the revision decreased.
     """
 
     first_at: float
@@ -37,7 +37,7 @@
 
 
 class SpreadWatch:
-    """Asks every process for its status, again and again.
+    """Monitor that polls the status of every process.
 
     Parameters
     ----------
@@ -50,11 +50,11 @@
         self._accepted: list[tuple[float, int]] = []
 
     def accepted(self, revision: int, at: float) -> None:
-        """Note that a change was accepted; it must be in force everywhere soon after ``at``."""
+        """Record an accepted change; the time until it is in force is measured from ``at``."""
         self._accepted.append((at, revision))
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Poll until cancelled."""
         while True:
             daemons = [*self.cluster.slots.values(), *self.cluster.entries.values()]
             await asyncio.gather(*map(self._look, daemons), asyncio.sleep(LOOK_S))
@@ -77,13 +77,13 @@
 
     @property
     def reverts(self) -> int:
-        """How often any process went back."""
+        """Number of times that any process went back to an older revision."""
         return sum(seen.reverts for seen in self.seen.values())
 
     def delays(self) -> list[float]:
-        """Return, for each change, how long it took until the last process had it, seconds.
+        """Return, for each change, the time until the last process had it in force, seconds.
 
-        A process that started later or ended before is left out of that change.
+        A process that started after a change, or ended before it, is not counted for that change.
         """
         delays = []
         for at, revision in self._accepted:
--- a/benchmarks/_summary.py
+++ b/benchmarks/_summary.py
@@ -1,4 +1,4 @@
-"""Figures from the results of callers."""
+"""Summary figures of callers' results."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def attained(result: CallResult, target: ClassRecord) -> bool:
-    """Return whether an answer was whole and met both targets of its class."""
+    """Return whether an answer was complete and met both latency targets of its class."""
     return (
         result.outcome == "whole"
         and result.first_token_s <= target.first_token_target_s
@@ -24,7 +24,7 @@
 def attainment(
     results: Sequence[CallResult], classes: Mapping[str, ClassRecord]
 ) -> dict[str, float]:
-    """Return, by class, the part of all requests sent that attained its targets."""
+    """Return, by class, the share of all requests sent that attained its targets."""
     sent = Counter(result.class_name for result in results)
     met = Counter(
         result.class_name for result in results if attained(result, classes[result.class_name])
@@ -38,12 +38,12 @@
 
 
 def delivered_tokens(results: Iterable[CallResult]) -> int:
-    """Return the tokens of whole answers."""
+    """Return the tokens of complete answers."""
     return sum(result.tokens for result in results if result.outcome == "whole")
 
 
 def failures(results: Iterable[CallResult]) -> Counter[tuple[str, str, str]]:
-    """Return how many requests of a class had an outcome other than a whole answer, by reason."""
+    """Count the requests without a complete answer, by class, outcome and error."""
     return Counter(
         (result.class_name, result.outcome, result.error)
         for result in results
@@ -52,5 +52,5 @@
 
 
 def wrong_answers(results: Iterable[CallResult]) -> int:
-    """Return how many answers were taken for whole and were not the caller's own whole answer."""
+    """Count the answers that ended as complete but were not the expected answer."""
     return sum(result.outcome in WRONG_OUTCOMES for result in results)
--- a/benchmarks/_table_calls.py
+++ b/benchmarks/_table_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the table that configuration makes, counted at a table in memory."""
+"""Table calls made for the configuration, counted at an in-memory table."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def count_table_calls() -> list[dict[str, Any]]:
-    """Return, for several numbers of records, the calls of a change, a start and a poll."""
+    """Return, for several numbers of records, the table calls of a change, a start and a poll."""
     table = MemoryTable()
     log = RecordLog(table)
     rows, low = [], 0
--- a/benchmarks/bench_binding.py
+++ b/benchmarks/bench_binding.py
@@ -1,7 +1,7 @@
-"""Where requests wait: in the entries until a slot grants a place, or in the slots.
+"""Compare queueing in the entries, until a slot grants a place, with queueing in the slots.
 
-The smaller deployment at 2.5 times its capacity, with the connections between entries and slots at
-the latency of a bench and at the planned one.
+Uses the smaller deployment at 2.5 times its capacity, with connections between entries and slots
+that have the latency of loopback and with the planned latency.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def summarise(deployment: Deployment, run: VariantRun) -> dict[str, float]:
-    """Return the figures of one binding at one latency."""
+    """Return the summary figures of one binding at one latency."""
     protected = [r for r in run.results if deployment.classes[r.class_name].protected]
     routine = [r for r in run.results if not deployment.classes[r.class_name].protected]
     first = [r.first_token_s for r in protected if r.outcome == "whole"]
--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -1,8 +1,9 @@
-"""Configuration, membership and stopping of real processes under load.
+"""Configuration changes, membership and shutdown of real processes under load.
 
-Three entries and eight slots serve a steady load while operators change records, two of them the
-same one at once, while the table answers with old states, loses confirmations and goes down, and
-while every process is replaced, at most four at a time. The VM list lags all the time.
+Three entries and eight slots serve a constant load while operators change records (two of them the
+same record concurrently), while the table serves stale reads, drops confirmations and becomes
+unavailable, and while every process is replaced, at most four at a time. The VM list is delayed
+throughout.
 """
 
 from __future__ import annotations
@@ -67,26 +68,27 @@
 
 
 def domain_of(number: int) -> str:
-    """Return the failure domain of the process with a number."""
+    """Return the failure domain of the process with the given number."""
     return DOMAINS[number % len(DOMAINS)]
 
 
 @attrs.define
 class Figures:
-    """What the run gave besides the spread and the callers' counts.
+    """Figures of the run besides the revisions in force and the callers' counts.
 
     Parameters
     ----------
     increments : int
         Accepted increments of the counter.
     counter : int
-        What the counter shows at the end.
+        Increments visible in the record at the end.
     new_work_s : list of float
-        For each slot that left, how long after its word or the list's it still began new work.
+        For each drained slot, the time after its own stop signal or the VM list's state change
+        during which it still started new requests.
     refusals : dict of str to int
-        Refused changes by kind.
+        Rejected changes by kind.
     ready_in_outage : bool
-        Whether an entry that started while the platform was down became ready meanwhile.
+        Whether an entry started during the platform outage became ready before its end.
     """
 
     increments: int = 0
@@ -97,7 +99,7 @@
 
 
 class ConfigRun:
-    """One deployment and what is done to it.
+    """One deployment and the operations and faults applied to it.
 
     Parameters
     ----------
@@ -131,12 +133,12 @@
         await self.cluster.start_slot(vm, GROUP.name, domain, engine.url)
 
     async def start_entry(self, vm: str, domain: str) -> None:
-        """Start an entry that knows some slots without the list."""
+        """Start an entry with seed slots, which it can reach without the VM list."""
         seeds = [f"127.0.0.1:{slot.listening['port']}" for slot in self.cluster.slots.values()]
         await self.cluster.start_entry(vm, domain, seed_slots=seeds)
 
     async def measure(self) -> BalancerCounts:
-        """Send the load while everything happens."""
+        """Send the load while all operations and faults are applied."""
         stop = asyncio.Event()
         watching = asyncio.create_task(self.watch.run())
         load = asyncio.create_task(Balancer(self.cluster, SEED).run(CHAT_PATH, CALL, RATE, stop))
@@ -156,7 +158,7 @@
         return counts
 
     async def _change_records(self) -> None:
-        """Change one record again and again, its old schema beside the new one at times."""
+        """Change one record repeatedly, every other time in the old schema as well."""
         for number in range(CHANGES):
             record = attrs.evolve(CLASS, priority=10 + number)
             old = attrs.evolve(OLD_CLASS, priority=10 + number)
@@ -183,7 +185,7 @@
         return False
 
     async def _count_together(self) -> None:
-        """Let two operators increment the same record at once, with confirmations lost."""
+        """Let two operators increment the same record concurrently while confirmations are lost."""
         platform = self.cluster.platform
         await self.cluster.switch_faults(platform, lose_confirmation=LOST_CONFIRMATIONS)
         await asyncio.gather(self._count("first"), self._count("second"))
@@ -209,12 +211,12 @@
         return decode_record(entry.kind, entry.name, entry.bodies).unwrap().outstanding
 
     async def _change_with_old_reads(self) -> None:
-        """Change a record while a process that reads the table sees the state before it."""
+        """Change a record while reads of the table return the state before the change."""
         platform = self.cluster.platform
         row = (await self.cluster.log.get("class", "draft")).unwrap()
         await self.cluster.switch_faults(platform, stale_reads_s=STALE_S)
-        # The conditions of a write are checked against the present state, so that this one is
-        # accepted; what is measured begins when reads can show it.
+        # Conditions of a write are checked against the current state, so this write is accepted.
+        # The delay is measured from the time at which reads can return it.
         begun = time.monotonic()
         result = await self.cluster.log.put(
             [attrs.evolve(CLASS, priority=50)], "operator", row.entry.revision, time.time()
@@ -224,7 +226,7 @@
         await asyncio.sleep(max(0.0, begun + STALE_S - time.monotonic()))
 
     async def _lose_platform(self) -> None:
-        """Take the platform away, replace an entry meanwhile, and try to change a record."""
+        """Take the platform down, start another entry meanwhile, and try to change a record."""
         platform = self.cluster.platform
         await self.cluster.switch_faults(platform, outage=True)
         begun = time.monotonic()
@@ -233,8 +235,8 @@
             raise RuntimeError("a change was accepted while the table was down")
         vm = "entry-outage"
         await self.start_entry(vm, DOMAINS[0])
-        # The outage lasts until the entry is ready, so that a slow start of its process on a busy
-        # machine is not taken for an entry that finds no configuration.
+        # The outage lasts until the entry is ready, so that a slow process start on a busy machine
+        # is not mistaken for an entry that cannot obtain the configuration.
         limit = time.monotonic() + READY_LIMIT_S
         while time.monotonic() < begun + OUTAGE_S or (
             not self.figures.ready_in_outage and time.monotonic() < limit
@@ -256,7 +258,7 @@
             return False
 
     async def _leave_by_list(self) -> None:
-        """Let the list alone say that a slot leaves, and then replace the slot."""
+        """Drain a slot through the VM list alone, and then replace it."""
         vm = "slot-0"
         await self.cluster.set_vm_state(vm, VmState.LEAVING)
         shown_at = time.monotonic() + VM_LIST_LAG_S
@@ -294,11 +296,11 @@
         await self._forget(vm, self.cluster.entries)
 
     async def _forget(self, vm: str, processes: dict[str, Process]) -> None:
-        """Take an ended process off; the list goes on showing it for its lag."""
+        """Remove an exited process; the VM list shows it until its delay has passed."""
         process = processes.pop(vm)
         code = await process.wait()
         if code != 0:
-            raise RuntimeError(f"{vm} ended with {code}: {process.log_tail()}")
+            raise RuntimeError(f"{vm} exited with status {code}: {process.log_tail()}")
         await self.cluster.remove_vm(vm)
 
     async def _wait_ready(self, process: Process) -> None:
@@ -306,7 +308,7 @@
             await asyncio.sleep(LOOK_S)
 
     async def _note_new_work(self, vm: str, left_at: float, goes_on) -> None:
-        """Note how long behind ``left_at`` the engine of a slot began to run new requests."""
+        """Record how long after ``left_at`` the engine of a slot still started new requests."""
         engine = self.engines[vm]
         begun = await self._count_starts(engine)
         last_at = left_at
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -1,9 +1,9 @@
-"""Cost of control: an entry and a slot, idle and with more of everything, and the slopes.
+"""Cost of control of an entry and a slot: idle, and its slopes as one quantity at a time grows.
 
-Each role is a real process whose peers live together in another one. One thing grows at a time;
-in each window the processor time, the memory and the bytes on the sockets are read from the
-operating system. Writes ``benchmarks/results/control.json``, from which the tables of
-``docs/CAPACITY.md`` are made. CPU figures are shares of one core.
+Each role runs as a real process, with all its peers in one other process. In each window the
+processor time, the memory and the bytes on the sockets are read from the operating system. Writes
+``benchmarks/results/control.json``, from which the tables of ``docs/CAPACITY.md`` are made. CPU
+figures are shares of one core.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 RESULTS = Path(__file__).with_name("results") / "control.json"
 
 PEERS = {"entry": (0, 20, 60), "slot": (10, 30, 60)}
-"""A slot without entries polls the table far more often than any slot in use."""
+"""Peers by role; a slot without entries polls the table far more often than any slot in use."""
 CHANGES_PER_S = (3.0, 8.0)
 CLASSES = (60,)
 ORGANISATIONS = (300, 900)
@@ -50,18 +50,18 @@
     "messages_sent_per_s",
     "peer_bytes_per_s",
 )
-"""What is fitted in each stage."""
+"""Costs for which a line is fitted in each stage."""
 
 
 @attrs.frozen
 class Measured:
-    """What was measured of one role.
+    """Measurements of one role.
 
     Parameters
     ----------
     samples : list of Sample
     vm_list_bytes : float
-        Bytes of one VM in the platform's list.
+        Mean size of a VM in the platform's list, bytes.
     """
 
     samples: list[Sample]
@@ -84,7 +84,7 @@
 
 
 async def measure_peers(bench: Bench) -> Sample:
-    """Grow the crowd; return the sample with all of it."""
+    """Measure with more and more peers; return the sample with all of them."""
     for count in PEERS[bench.role]:
         await bench.grow_crowd(count)
         sample = await bench.measure("peers", count, window_s=IDLE_WINDOW_S)
@@ -94,14 +94,14 @@
 async def measure_changes(
     bench: Bench, stage: str, idle: Sample, rates: Sequence[float] = CHANGES_PER_S
 ) -> None:
-    """Change records ever faster."""
+    """Measure at increasing rates of record changes."""
     bench.reuse(idle, stage, 0.0)
     for per_s in rates:
         await bench.measure(stage, per_s, lambda per_s=per_s: bench.change_records(per_s))
 
 
 async def measure_requests(bench: Bench, idle: Sample) -> None:
-    """Send more requests, then longer ones."""
+    """Measure with more requests, then with longer answers."""
     bench.reuse(idle, "requests", 0.0)
     for per_s in REQUESTS_PER_S:
         await bench.measure(
@@ -116,7 +116,7 @@
 
 
 async def measure_records(bench: Bench, idle: Sample) -> Sample:
-    """Put more classes, then more organisations; return the sample with all of them."""
+    """Measure with more classes, then more organisations; return the sample with all of them."""
     low = 4
     bench.reuse(idle, "classes", low)
     for high in CLASSES:
@@ -133,7 +133,7 @@
 
 
 async def measure_vms(bench: Bench, loaded: Sample) -> None:
-    """Lengthen the VM list, which only entries read."""
+    """Measure with a longer VM list, which only entries read."""
     low = 0
     bench.reuse(loaded, "vms", low)
     for high in VMS:
@@ -144,7 +144,7 @@
 
 
 def fit_all(samples: Sequence[Sample]) -> dict[str, dict[str, dict[str, Any]]]:
-    """Return the fitted lines by ``role.stage`` and cost."""
+    """Return the fitted lines, keyed by ``role.stage`` and cost."""
     lines: dict[str, dict[str, dict[str, Any]]] = {}
     for role, stage in dict.fromkeys((sample.role, sample.stage) for sample in samples):
         chosen = [sample for sample in samples if (sample.role, sample.stage) == (role, stage)]
@@ -157,7 +157,7 @@
 
 
 def describe_machine() -> dict[str, Any]:
-    """Return what the figures depend on."""
+    """Return the properties of the machine on which the figures depend."""
     load = os.getloadavg()[0]
     return {
         "python": platform.python_version(),
@@ -168,7 +168,7 @@
 
 
 def summarize(samples: Sequence[Sample], lines: dict[str, Any]) -> dict[str, Any]:
-    """Return the object that the benchmark prints last."""
+    """Return the JSON object that the benchmark prints last."""
     result: dict[str, Any] = {}
     for role in ("entry", "slot"):
         most = max(PEERS[role])
@@ -193,7 +193,7 @@
 
 
 def print_samples(samples: Sequence[Sample]) -> None:
-    """Print the windows of both roles."""
+    """Print the measured windows of both roles."""
     for role in ("entry", "slot"):
         rows = [
             (
--- a/benchmarks/bench_decisions.py
+++ b/benchmarks/bench_decisions.py
@@ -1,4 +1,4 @@
-"""Microseconds per decision, and how they grow with what waits and what can be chosen."""
+"""Processor time per decision, and its growth with the queue length and the number of choices."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def microseconds(step: Callable[[int], None]) -> float:
-    """Return the time of one call, the best of several rounds."""
+    """Return the time of one call, the best of several rounds, microseconds."""
     best = float("inf")
     for _ in range(ROUNDS):
         start = time.perf_counter()
@@ -58,7 +58,7 @@
 
 
 def measure_queue(policy: str, size: int) -> float:
-    """Return the time of one push, one charge and one pop at a steady length."""
+    """Return the time of one push, one pop and one charge at a constant queue length."""
     queue = queue_policies.get(policy)(CLASSES, {})
     numbers = iter(range(10**9))
     for _ in range(size):
@@ -99,7 +99,10 @@
 
 
 def measure_slot(demand: int) -> float:
-    """Return the time of one grant, its use, start and end, with all classes waiting."""
+    """Return the time of one grant and of the offer, start and end of its request.
+
+    Every class has waiting requests.
+    """
     slot = SlotScheduler(8, CLASSES, {}, PolicyRecord())
     classes = [ClassDemand(name, demand, 0.1) for name in CLASSES]
 
--- a/benchmarks/bench_era.py
+++ b/benchmarks/bench_era.py
@@ -1,14 +1,14 @@
-"""A store that comes back from a copy under load, beside an outage that loses nothing.
+"""Restoration of the store from a copy under load, compared with an outage without data loss.
 
-Forwarders in one event loop serve calls while the store goes away and comes back from a copy some
-seconds old. The copy lacks a configuration and the word of an upstream that it leaves; a key is
-withdrawn after the return. In one course a quarter of the processes reach the store later than the
-others. They tell each other of the store's tables in memory: no connections between them and no
-list of members are part of the figures. Callers do not repeat.
+Forwarders in one event loop serve calls while the store becomes unavailable and is restored from a
+copy that is some seconds old. The copy lacks a configuration and the state of an upstream that is
+leaving; a key is withdrawn after the restoration. In one scenario a quarter of the processes reach
+the store later than the others. The processes exchange updates of the store's tables in memory, so
+the figures include neither connections between them nor a member list. Callers do not retry.
 
-Beside that, callers repeat requests that run at most once, through entries and slots, over the same
-return of their table. The last line is one JSON object, with the figures of the drill with the most
-forwarders and the faults of all.
+In addition, callers resend at-most-once requests through entries and slots while the table of these
+is restored in the same way. The last line is one JSON object, with the figures of the simulation
+with the most forwarders and the faults of all simulations.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 FEEDS = (4, 30, 100)
 AT_ONCE = 5
-"""Plays at once, each in a process of its own."""
+"""Number of parallel simulations, each in a separate process."""
 
 RETURN = Course("Return from a copy", True)
 CUT_OFF = Course("Return from a copy, a quarter of the processes cut off for 4 s more", True, 0.25)
--- a/benchmarks/bench_faults.py
+++ b/benchmarks/bench_faults.py
@@ -1,8 +1,8 @@
-"""A deployment below its capacity with crashes, a straggler and a poison request.
+"""A deployment below its capacity with engine crashes, a straggler and a poison request.
 
-Every healthy request is to get its whole answer all the same. ``lost`` counts those that got
-neither a whole answer nor a refusal; ``ejected_straggler_share`` is what the straggler still got
-to run from five seconds after it became slow, as a part of a fair share.
+Every other request is expected to get its complete answer nevertheless. ``lost`` counts requests
+with neither a complete answer nor a refusal. ``ejected_straggler_share`` is the number of requests
+that the straggler still ran from five seconds after it became slow, relative to a fair share.
 """
 
 from __future__ import annotations
@@ -30,7 +30,8 @@
 LOAD_S = 16.0
 LOAD_FACTOR = 0.6
 PATIENCE_S = 20.0
-"""Callers outwait the longest answer on the straggler, so that none leaves by itself."""
+"""Patience of callers, seconds: longer than the longest answer of the straggler, so that no caller
+disconnects by itself."""
 SLOW_AT_S = 1.0
 SLOW_FACTOR = 6.0
 EJECTED_AFTER_S = 5.0
@@ -52,7 +53,7 @@
 
 @attrs.frozen
 class StragglerWork:
-    """Requests that began on the straggler and on all engines of its group, in the last part."""
+    """Requests started on the straggler and in its whole group, in the last part of a run."""
 
     own: int
     group: int
@@ -60,13 +61,13 @@
 
     @property
     def share(self) -> float:
-        """What the straggler ran, as a part of a fair share."""
+        """Requests started on the straggler, relative to a fair share."""
         return self.own * self.engines / max(1, self.group)
 
 
 @attrs.frozen
 class Measured:
-    """What one run gave."""
+    """Measurements of one run."""
 
     results: list[CallResult]
     poison: list[CallResult]
@@ -77,7 +78,7 @@
 
 
 def below_capacity(deployment: Deployment) -> Deployment:
-    """Return the deployment with its demand scaled to a part of the capacity."""
+    """Return the deployment with its demand scaled to ``LOAD_FACTOR`` of the capacity."""
     total = sum(demand.load for demand in deployment.demand) / len(deployment.groups)
     scale = LOAD_FACTOR / total
     demand = [
@@ -88,7 +89,7 @@
 
 
 class FaultRun:
-    """One deployment with the faults of the benchmark.
+    """Run of one deployment with the faults of the benchmark.
 
     Parameters
     ----------
@@ -104,7 +105,7 @@
         self.group = [cluster.upstreams[f"engine-{group.name}-{i}"] for i in range(group.count)]
 
     async def measure(self) -> Measured:
-        """Send the load while the faults happen."""
+        """Send the load while the faults are injected."""
         calls = plan_load(self.deployment, self.urls, LOAD_S, SEED)
         start_at = time.monotonic() + 0.2
         results, poison, straggler, _ = await asyncio.gather(
@@ -162,7 +163,7 @@
             try:
                 return await self.cluster.read_json(f"{engine.url}/stats")
             except aiohttp.ClientError:
-                # A crashed engine refuses connections until it is back; its counts survive.
+                # A crashed engine refuses connections until its restart; its counts are kept.
                 await asyncio.sleep(STATS_PAUSE_S)
 
     async def _starts(self, engine: Process) -> int:
--- a/benchmarks/bench_flood_model.py
+++ b/benchmarks/bench_flood_model.py
@@ -1,4 +1,4 @@
-"""A model of one organisation that sends ten times its part, without processes."""
+"""Model, without processes, of one organisation that sends ten times its share of the load."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 FLOODING = "small-7"
 FLOOD_TIMES = 10
 DEMAND = {"dosage": 0.8, "renewal": 1.7}
-"""Requests as parts of the capacity."""
+"""Offered requests by class, as a multiple of the capacity."""
 CLASSES = {
     "dosage": ClassRecord("dosage", 40, TARGET_S, 0.1, 1.5, share=0.3),
     "renewal": ClassRecord("renewal", 10, TARGET_S, 0.1, 1.5, share=0.15),
@@ -27,7 +27,7 @@
 
 
 class Model:
-    """Virtual time: one entry before all places; requests start as places free up."""
+    """Simulation in virtual time: one entry in front of all places, with requests queued in it."""
 
     def __init__(self, flood: bool, seed: int):
         self.rng = random.Random(seed)
@@ -45,7 +45,7 @@
         self.arrivals = sorted(self.plan(flood))
 
     def plan(self, flood: bool) -> Iterator[tuple[float, str, str]]:
-        """Return the arrivals; a flood adds to the same ones."""
+        """Yield the arrivals; a flood does not change those of the other organisations."""
         total = sum(WEIGHTS.values())
         for class_name, part in DEMAND.items():
             for name, weight in WEIGHTS.items():
@@ -70,7 +70,7 @@
         return met / sum(self.sent[name] for name in others)
 
     def end_until(self, now: float) -> None:
-        """End what is due and start what waits."""
+        """End the requests that are due and start waiting ones."""
         while self.ends and self.ends[0][0] <= now:
             at, _, class_name, name = heapq.heappop(self.ends)
             self.free += 1
--- a/benchmarks/bench_health.py
+++ b/benchmarks/bench_health.py
@@ -1,6 +1,7 @@
-"""A model of one upstream's fall and slow recovery: who finds out that it is back.
+"""Model of one upstream's failure and gradual recovery: how the recovery is detected.
 
-Users' requests as the test (half-open) against probes, and one success against three in a row.
+Compares users' requests as the test (half-open circuit breaker) with probes, and one required
+success with three in a row.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 RUNS = 400
 DOWN_S = 20.0
 STRUGGLING_S = 15.0
-"""After it was down, the upstream fails part of its requests for this long."""
+"""Time after the outage during which the upstream fails part of its requests, seconds."""
 OK_WHILE_STRUGGLING = 0.5
 END_S = 90.0
 TEST_EVERY_S = 1.0
@@ -24,7 +25,7 @@
 
 @attrs.define
 class Tally:
-    """What users saw, summed over runs."""
+    """Counts as seen by users, of one run."""
 
     failed: int = 0
     lost_service_s: float = 0.0
@@ -40,7 +41,7 @@
 
 
 def run(by_users: bool, needed: int, rng: random.Random) -> Tally:
-    """Follow one fall and return, in steps of one request."""
+    """Simulate one failure and recovery, in steps of one request."""
     gate = ProbeGate(successes_needed=needed)
     tally = Tally()
     next_test = 0.0
--- a/benchmarks/bench_look.py
+++ b/benchmarks/bench_look.py
@@ -1,9 +1,9 @@
-"""Measures the processor time of one look at the prompts that wait, and of one placement.
+"""Measure the processor time of one evaluation of the waiting prompts, and of one placement.
 
-A process looks at what waits many times in a second; where that takes long, callers that leave and
-answers that are ready wait behind it. The figures are milliseconds for one look at so many waiting
-prompts, none of which may start, before so many upstreams, with figures of 27 other processes. The
-last line is one JSON object.
+A process evaluates its waiting prompts many times per second. A slow evaluation delays the handling
+of callers that disconnect and of answers that are ready. The figures are milliseconds for one
+evaluation of a number of waiting prompts, none of which may start, against a number of upstreams,
+with load reports of 27 other processes. The last line is one JSON object.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 
 PEERS = 27
 SUBJECTS = 100
-"""Shared parts of prompts."""
+"""Number of shared prompt parts."""
 BACKLOG = 200_000
-"""Tokens that wait at each upstream, so that nothing may start."""
+"""Tokens waiting at each upstream: so many that no prompt may start."""
 ROUNDS = 20
 NOW = 10.0
 
 
 def make_upstreams(count: int, rng: random.Random) -> list[Upstream]:
-    """Return upstreams that are busy and hold some parts."""
+    """Return busy upstreams, each with some prompt parts in its cache."""
     found = []
     for number in range(count):
         entry = ListedUpstream(f"e{number}", "s", "10.0.0.1", 80, "a", 64, False, 1)
@@ -51,13 +51,13 @@
 
 
 def make_demand(rng: random.Random) -> Demand:
-    """Return what a prompt with a shared part asks."""
+    """Return the demand of a prompt with one shared part."""
     parts = ((f"part{rng.randrange(SUBJECTS)}", 9000), (f"own{rng.random()}", 3000))
     return Demand(Prompt(parts, 100), 2.0, 12.0)
 
 
 def time_look(upstreams: list[Upstream], waiting: int, rng: random.Random) -> float:
-    """Return the time of one look, milliseconds."""
+    """Return the time of one evaluation of the queue, milliseconds."""
     queue = PromptQueue()
     for _ in range(waiting):
         queue.add(WaitingPrompt(make_demand(rng), 2, NOW + 2, NOW + 3, ()))
--- a/benchmarks/bench_once.py
+++ b/benchmarks/bench_once.py
@@ -1,9 +1,9 @@
-"""Requests that run at most once, through real processes, with faults on.
+"""At-most-once requests through real processes, with fault injection.
 
-Callers repeat keys through different entries, at the same time and later. The services count the
-effects of each key; what callers were told is compared with the counts at the end, when every late
-write and paused process has had its time. ``unknown`` counts keys whose last answer was that the
-outcome is not known; ``unknown_without_fault`` those of the two phases without faults.
+Callers send the same keys through different entries, concurrently and later. The services count the
+effects of each key. The answers to callers are compared with these counts at the end, after every
+late write and paused process has had time to finish. ``unknown`` counts keys whose last answer left
+the outcome unknown; ``unknown_without_fault`` those of the two phases without faults.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Told:
-    """What one call of a key was told."""
+    """Answer to one call of a key."""
 
     phase: str
     key: str
@@ -60,25 +60,25 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the caller was told that its request did not run."""
+        """Whether the answer states that the request did not run."""
         return self.result.outcome == "refused" and self.result.run == "not_run"
 
     @property
     def unknown(self) -> bool:
-        """Whether the caller was left without knowing."""
+        """Whether the answer leaves open whether the request ran."""
         return self.result.outcome != "whole" and self.result.run not in ("not_run", "ran")
 
 
 @attrs.frozen
 class TableUse:
-    """Calls of the table for each request of a phase, without those of idle processes."""
+    """Table calls per request of a phase, without those that idle processes make."""
 
     writes: float
     reads: float
 
 
 class OnceRun:
-    """A deployment of plain services with callers that repeat themselves.
+    """A deployment of plain services with callers that resend their keys.
 
     Parameters
     ----------
@@ -120,7 +120,7 @@
         repeated: float = 0.0,
         faults: Callable[[asyncio.Event], Awaitable[None]] | None = None,
     ) -> TableUse:
-        """Send every key once, a share of them again and again, and count the table's calls."""
+        """Send every key, a share of them repeatedly, and count the table calls."""
         before, began = await self._table_counts(), time.monotonic()
         ended = asyncio.Event()
         maker = asyncio.create_task(faults(ended)) if faults else None
@@ -141,7 +141,7 @@
         )
 
     async def make_faults(self, ended: asyncio.Event) -> None:
-        """Go through the kinds of faults until the callers are done."""
+        """Inject the kinds of faults in rotation until the callers have finished."""
         kinds = (
             self._lose_confirmations,
             self._cut_before,
@@ -161,7 +161,7 @@
             await asyncio.sleep(0.2)
 
     async def read_effects(self) -> Counter[str]:
-        """Return the effects of each key at all services together."""
+        """Return the number of effects of each key, summed over all services."""
         effects: Counter[str] = Counter()
         for service in self.cluster.upstreams.values():
             effects.update(await self.cluster.read_json(f"{service.url}/effects"))
@@ -173,13 +173,14 @@
         while queue:
             key = f"{phase}-{queue.pop()}"
             if repeated:
-                # Spreads the calls over all kinds of faults.
+                # Distributes the calls over all kinds of faults.
                 await asyncio.sleep(self.rng.uniform(0.0, 2 * PAUSE_S))
             first, second = self.rng.sample(self.urls, 2)
             if self.rng.random() >= repeated:
                 await self._call(session, phase, key, first)
                 continue
-            # The caller tires of waiting and sends the key again elsewhere, then once more later.
+            # Sends the key through two entries concurrently, like a caller that retries elsewhere
+            # after a timeout, and then once more.
             await asyncio.gather(
                 self._call(session, phase, key, first), self._call(session, phase, key, second)
             )
@@ -210,7 +211,7 @@
         try:
             await self.cluster.switch_faults(process, **switches)
         except aiohttp.ClientError:
-            # A crashed service refuses connections until it is back.
+            # A crashed service refuses connections until its restart.
             self.faults["switch_refused"] += 1
 
     def _some_service(self) -> Process:
@@ -247,7 +248,7 @@
         os.kill(slot.process.pid, signal.SIGCONT)
 
     async def _kill_slot(self) -> None:
-        """Kill a slot and put another in its place, under a new name as a replaced VM has."""
+        """Kill a slot and start a replacement with a new name, like that of a replaced VM."""
         vm = self.rng.choice(list(self.cluster.slots))
         slot = self.cluster.slots.pop(vm)
         upstream = list(self.cluster.upstreams.values())[int(vm.split("-")[1])]
@@ -271,7 +272,7 @@
 
 
 def judge(told: Sequence[Told], effects: Counter[str]) -> dict[str, int]:
-    """Compare what callers were told with the effects that there were."""
+    """Compare the answers to callers with the effects at the services."""
     by_key: dict[str, list[Told]] = defaultdict(list)
     for part in told:
         by_key[part.key].append(part)
--- a/benchmarks/bench_path.py
+++ b/benchmarks/bench_path.py
@@ -1,8 +1,8 @@
-"""Cost of the path through entry and slot, against calling the engines directly.
+"""Overhead of the path through entry and slot, compared with calling the engines directly.
 
 Prints ``overhead_ms_p50`` and ``overhead_ms_p99`` of a short plain request, ``requests_per_s`` and
-``tokens_per_s`` through one entry process, and the direct figures of the same run;
-``forwarder_overhead_ms_p50`` and ``forwarder_overhead_ms_p99`` of one through a forwarder.
+``tokens_per_s`` through one entry process, and the figures of direct calls in the same run, as well
+as ``forwarder_overhead_ms_p50`` and ``forwarder_overhead_ms_p99`` of a request through a forwarder.
 """
 
 from __future__ import annotations
@@ -73,7 +73,7 @@
 
 
 async def measure_pairs(direct: str, through: str) -> tuple[list[float], list[float]]:
-    """Send the same short request directly and through the entry, in turn; return seconds."""
+    """Send the same short request alternately directly and through the entry; return seconds."""
     async with new_session() as session:
         pairs = [
             [await _time_one(session, url, number) for url in (direct, through)]
@@ -87,7 +87,7 @@
     call = PlannedCall(0.0, url, ORGANISATION, CLASS.name, api_key(ORGANISATION), body)
     result = await send(session, call, SEED)
     if result.outcome != "whole":
-        raise RuntimeError(f"{url}: expected a whole answer, got {result}")
+        raise RuntimeError(f"{url}: expected a complete answer, got {result}")
     return result.duration_s
 
 
--- a/benchmarks/bench_placement.py
+++ b/benchmarks/bench_placement.py
@@ -1,4 +1,4 @@
-"""Placement policies compared on one group with an uneven engine, below its capacity."""
+"""Comparison of placement policies on one group with a slower engine, below its capacity."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def advisors() -> Deployment:
-    """Return the group of nine advisor engines with one class."""
+    """Return a deployment of the nine advisor engines with one class."""
     whole = dala(ENGINE)
     (demand,) = (part for part in whole.demand if part.class_name == "dosage")
     target = attrs.evolve(whole.classes["dosage"], first_token_target_s=FIRST_TOKEN_TARGET_S)
@@ -37,7 +37,7 @@
 
 
 def summarise(deployment: Deployment, run: VariantRun) -> dict[str, float]:
-    """Return the figures of one policy."""
+    """Return the summary figures of one policy."""
     whole = [result for result in run.results if result.outcome == "whole"]
     first = [result.first_token_s for result in whole]
     return {
@@ -50,7 +50,7 @@
 
 
 async def main() -> None:
-    """Run the benchmark; requests wait in the slots, so that placement alone decides."""
+    """Run the benchmark with queues in the slots, so that only the placement policy matters."""
     deployment = advisors()
     variants = {
         name: [PolicyRecord(binding="slot_queue", placement=name)]
--- a/benchmarks/bench_placement_model.py
+++ b/benchmarks/bench_placement_model.py
@@ -1,4 +1,4 @@
-"""A model of several entries that place requests by lagging load figures, for each policy."""
+"""Model of several entries that place requests by delayed load reports, for each policy."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 LOAD = 0.85
 MEAN_SERVICE_S = 1.0
 SLOW_SLOT_FACTOR = 2.0
-"""One slot of the fleet takes this much longer."""
+"""Factor by which the requests of one slot take longer."""
 LAGS_S = (0.05, 0.5, 2.0)
 REQUESTS = 12000
 
 
 @attrs.define
 class Slot:
-    """Runs up to its places and queues the rest, first in first out."""
+    """A slot that runs up to ``PLACES`` requests and queues the rest, first in, first out."""
 
     name: str
     factor: float
@@ -34,20 +34,20 @@
 
     @property
     def load(self) -> int:
-        """Requests that run or wait here."""
+        """Number of running and waiting requests."""
         return self.running + len(self.queue)
 
 
 @attrs.define
 class Report:
-    """What the entries last heard of a slot."""
+    """Last load report of a slot received by the entries."""
 
     load: int = 0
     own: list[int] = attrs.field(factory=lambda: [0] * ENTRIES)
 
 
 class Model:
-    """Virtual time; every slot reports to all entries each ``lag_s`` seconds."""
+    """Simulation in virtual time; every slot reports to all entries every ``lag_s`` seconds."""
 
     def __init__(self, policy: str, lag_s: float, seed: int):
         self.policies = [placement_policies.get(policy)() for _ in range(ENTRIES)]
@@ -61,7 +61,7 @@
         self.count = 0
 
     def run(self) -> list[float]:
-        """Return the waits, without those of the first tenth of the requests."""
+        """Return the waiting times, seconds, without those of the first tenth of the requests."""
         now = 0.0
         rate = LOAD * PLACES * (SLOTS - 1 + 1 / SLOW_SLOT_FACTOR) / MEAN_SERVICE_S
         for number in range(REQUESTS):
@@ -71,7 +71,7 @@
         return self.waits[REQUESTS // 10 :]
 
     def end_until(self, now: float) -> None:
-        """End what is due and start what waits for it."""
+        """End the requests that are due and start those queued behind them."""
         while self.ends and self.ends[0][0] <= now:
             at, _, slot, entry = heapq.heappop(self.ends)
             self.report_until(at)
@@ -102,7 +102,7 @@
             slot.queue.append((entry, now))
 
     def describe(self, slot: Slot, entry: int, now: float) -> Candidate:
-        """Return a slot as an entry sees it."""
+        """Return a slot as a candidate, as seen by an entry."""
         report = self.reports[slot.name]
         return Candidate(
             vm=slot.name,
@@ -116,7 +116,7 @@
         )
 
     def start(self, slot: Slot, entry: int, arrived: float, now: float) -> None:
-        """Start a request and draw its length."""
+        """Start a request with a random service time."""
         slot.running += 1
         self.count += 1
         self.waits.append(now - arrived)
--- a/benchmarks/bench_policy.py
+++ b/benchmarks/bench_policy.py
@@ -1,11 +1,11 @@
-"""Replays load patterns against the forwarder's decisions on prompts, with a model of the engines.
-
-Four policies see the same requests: ``fifo`` sends each at once to the engine with the fewest
-requests, ``homes`` sends at once to one of two homes of the shared part, ``queue`` is the present
-policy, and ``ideal`` is one queue that knows exactly what each engine holds and still has to read.
-Engines read by the level of urgency that a policy tells them; only the present one tells any.
-The figures are the shares of short urgent and of long requests whose first token is in time; the
-last line is one JSON object.
+"""Replay load patterns against the forwarder's prompt scheduling, with a model of the engines.
+
+Four policies receive the same requests. ``fifo`` sends each immediately to the engine with the
+fewest requests. ``homes`` sends each immediately to one of the two preferred engines of its shared
+part. ``queue`` is the current policy. ``ideal`` is one queue with exact knowledge of what each
+engine has cached and still has to read. Engines read prompts in order of the urgency level sent by
+the policy; only the current one sends any. The figures are the shares of short urgent and of long
+requests whose first token is in time. The last line is one JSON object.
 """
 
 from __future__ import annotations
@@ -37,23 +37,23 @@
 FETCH_S = 0.008
 """Time in which an engine fetches the shared parts of a prompt from another one, seconds."""
 STEP_S = 0.005
-"""Time between two looks of the simulation, seconds."""
+"""Time step of the simulation, seconds."""
 SECONDS = 20.0
 ENGINES = 6
 TOKENS_PER_S = 45_000.0
-"""Tokens that an engine reads in a second beside the answers it writes."""
+"""Prompt tokens that an engine reads per second while it also writes answers."""
 MEMORY_TOKENS = 285_000
 SUBJECTS = 300
-"""Shared parts of long prompts."""
+"""Number of shared parts of long prompts."""
 SHORT_TARGET_S = 0.25
 LONG_TARGET_S = 0.5
 HOLD_S = 1.2
-"""Wait after which the present policy refuses, seconds."""
+"""Waiting time after which the current policy refuses a request, seconds."""
 
 
 @attrs.define(eq=False)
 class Request:
-    """One request: when it came, and when its first token came."""
+    """One request, with its arrival time and the time of its first token."""
 
     id: int
     at: float
@@ -65,13 +65,13 @@
 
     @property
     def in_time(self) -> bool:
-        """Whether the first token came within the target."""
+        """Whether the first token arrived within the target."""
         return self.first_at is not None and self.first_at - self.at <= self.target_s
 
 
 @attrs.define(eq=False)
 class Reading:
-    """A prompt at an engine, and how much of it is still to be read."""
+    """A prompt queued at an engine, with the number of tokens still to be read."""
 
     request: Request
     level: int
@@ -79,7 +79,7 @@
 
 
 class Engine:
-    """Reads prompts by level, then in the order they came, and keeps parts in memory."""
+    """Model of an engine that reads prompts by level, then arrival, and caches their parts."""
 
     def __init__(self, number: int):
         entry = ListedUpstream(f"e{number}", "writers", "10.0.0.1", 80, "a", 64, False, 1)
@@ -89,18 +89,18 @@
         self.gone = False
 
     def missing(self, prompt: Prompt) -> int:
-        """Return the tokens of a prompt that must be read here."""
+        """Return the number of tokens of a prompt that are not cached here."""
         for position, (part, _) in enumerate(prompt.parts):
             if part not in self.parts:
                 return sum(tokens for _, tokens in prompt.parts[position:])
         return 0
 
     def backlog(self) -> float:
-        """Return the tokens that wait to be read."""
+        """Return the number of queued tokens still to be read."""
         return sum(reading.left for reading in self.queue)
 
     def send(self, request: Request, level: int = 0, source: Engine | None = None) -> None:
-        """Take a request, whose parts may be fetched from another engine."""
+        """Queue a request, whose cached parts may be fetched from another engine."""
         tokens = self.missing(request.prompt)
         if source is not None and source.missing(request.prompt) < tokens:
             tokens = source.missing(request.prompt) + FETCH_S * TOKENS_PER_S
@@ -113,7 +113,7 @@
         self.queue.sort(key=lambda reading: reading.level)
 
     def run(self, now: float) -> list[Request]:
-        """Read for one step and return the requests whose first token came."""
+        """Read for one time step and return the requests that got their first token."""
         budget = TOKENS_PER_S * STEP_S
         done = []
         while self.queue and budget > 0:
@@ -130,7 +130,7 @@
 
 @attrs.frozen
 class Sent:
-    """A request that the present policy sent, and the tokens that are read before its own."""
+    """A request sent by the current policy, and the number of tokens queued ahead of it."""
 
     at: float
     ahead: int
@@ -141,28 +141,28 @@
 
 
 class Policy:
-    """What decides where and when requests are sent."""
+    """Base class of policies, which decide where and when requests are sent."""
 
     def __init__(self, engines: list[Engine]):
         self.engines = engines
 
     def live(self) -> list[Engine]:
-        """Return the engines that are there."""
+        """Return the engines that are available."""
         return [engine for engine in self.engines if not engine.gone]
 
     def arrive(self, request: Request, now: float) -> None:
-        """Take a new request."""
+        """Receive a new request."""
 
     def look(self, now: float) -> None:
-        """Send what may be sent now."""
+        """Send the requests that may be sent now."""
 
     def first_token(self, engine: Engine, request: Request, now: float) -> None:
-        """Hear of a first token."""
+        """Receive the first token of a request."""
 
 
 @policies.register("fifo")
 class Fifo(Policy):
-    """Sends at once to the engine with the fewest requests."""
+    """Policy that sends immediately to the engine with the fewest requests."""
 
     def arrive(self, request: Request, now: float) -> None:
         """Send a new request."""
@@ -171,7 +171,7 @@
 
 @policies.register("homes")
 class Homes(Policy):
-    """Sends at once to one of two homes of the shared part."""
+    """Policy that sends immediately to one of the two preferred engines of the shared part."""
 
     def arrive(self, request: Request, now: float) -> None:
         """Send a new request."""
@@ -184,7 +184,7 @@
 
 @policies.register("queue")
 class Queue(Policy):
-    """The present policy."""
+    """The current policy of the forwarder."""
 
     def __init__(self, engines: list[Engine]):
         super().__init__(engines)
@@ -195,14 +195,14 @@
         self.sent: dict[int, Sent] = {}
 
     def arrive(self, request: Request, now: float) -> None:
-        """Let a new request wait."""
+        """Queue a new request."""
         demand = Demand(request.prompt, request.target_s, 12.0, SHORT_SHARE * SHORT_TARGET_S)
         due = request.at + request.target_s
         hold = request.at + HOLD_S
         self.waiting.add(WaitingPrompt(demand, request.urgency, due, hold, (), request))
 
     def look(self, now: float) -> None:
-        """Send what may be sent now."""
+        """Send the requests that may be sent now."""
         by_upstream = {engine.upstream: engine for engine in self.live()}
         upstreams = list(by_upstream)
         while start := self.waiting.take_start(upstreams, self.model, self.targets, now):
@@ -219,7 +219,7 @@
         self.waiting.take_expired(now)
 
     def first_token(self, engine: Engine, request: Request, now: float) -> None:
-        """Learn from a first token."""
+        """Update the model and the upstream from a first token."""
         sent = self.sent.pop(request.id)
         upstream = engine.upstream
         seconds = max(now - sent.at, 0.001)
@@ -240,18 +240,18 @@
 
 @policies.register("ideal")
 class Ideal(Policy):
-    """One queue that knows what each engine holds and has to read."""
+    """Policy of one queue with exact knowledge of what each engine has cached and has to read."""
 
     def __init__(self, engines: list[Engine]):
         super().__init__(engines)
         self.waiting: list[Request] = []
 
     def arrive(self, request: Request, now: float) -> None:
-        """Let a new request wait."""
+        """Queue a new request."""
         self.waiting.append(request)
 
     def look(self, now: float) -> None:
-        """Give each idle engine the request that still is in time and is read soonest there."""
+        """Send each idle engine the best request: still in time, urgent, and soonest read there."""
         for engine in self.live():
             while not engine.queue and (best := self._best(engine, now)) is not None:
                 self.waiting.remove(best)
@@ -271,8 +271,8 @@
 
 @attrs.frozen
 class Pattern:
-    """A load pattern: requests a second at a moment, engines that go, and whether short and long
-    requests have the same priority."""
+    """A load pattern: requests per second as functions of time, engines that are removed, and
+    whether short and long requests have the same priority."""
 
     long_per_s: Callable[[float], float]
     short_per_s: Callable[[float], float]
@@ -299,7 +299,7 @@
 
 
 def make_requests(pattern: Pattern, rng: random.Random) -> list[Request]:
-    """Return the requests of one play."""
+    """Return the requests of one simulation."""
     requests = []
     now = 0.0
     while now < SECONDS:
@@ -326,7 +326,7 @@
 
 
 def play(pattern: Pattern, name: str, seed: int) -> dict[str, float]:
-    """Return the shares in time of one policy under one pattern."""
+    """Simulate one policy under one pattern; return the shares of requests in time."""
     requests = make_requests(pattern, random.Random(seed))
     engines = [Engine(number) for number in range(ENGINES)]
     policy = policies.get(name)(engines)
@@ -352,7 +352,7 @@
 
 
 def main() -> None:
-    """Play all patterns with all policies and print the table."""
+    """Simulate all patterns with all policies and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args().seed
--- a/benchmarks/bench_preemption_model.py
+++ b/benchmarks/bench_preemption_model.py
@@ -1,6 +1,6 @@
-"""A model of one slot under overload: places kept free, pausing, both, neither.
+"""Model of one slot under overload with reserved places, preemption, both or neither.
 
-Routine answers wait all the time; protected requests arrive in bursts.
+Routine requests are always waiting; protected requests arrive in bursts.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class Model:
-    """Virtual time: an entry, a slot and its upstream, without delays between them."""
+    """Simulation in virtual time of an entry, a slot and its upstream, without network delays."""
 
     def __init__(self, reserve: bool, preemption: bool, seed: int):
         policy = PolicyRecord(reserve=reserve, preemption=preemption)
@@ -52,12 +52,12 @@
         self.pauses = 0
 
     def add_event(self, at: float, kind: str, name: str) -> None:
-        """Let something happen later."""
+        """Schedule an event."""
         self.number += 1
         heapq.heappush(self.events, (at, self.number, kind, name))
 
     def run(self) -> None:
-        """Follow the events to the end."""
+        """Process the events in order until the end of the simulation."""
         self.add_event(0.0, "burst", "")
         while self.events and self.events[0][0] < SECONDS:
             now, _, kind, name = heapq.heappop(self.events)
@@ -68,7 +68,7 @@
             self.pump(now)
 
     def burst(self, now: float) -> None:
-        """Offer a burst of protected requests; those refused wait at the entry."""
+        """Offer a burst of protected requests; those refused are queued at the entry."""
         for _ in range(self.rng.choice(BURST_SIZES)):
             self.number += 1
             name = f"hold-{self.number}"
@@ -86,11 +86,11 @@
 
     @staticmethod
     def work(name: str) -> Work:
-        """Return a request by its name, which starts with its class."""
+        """Return the request with a name, which starts with that of its class."""
         return Work(name, 1, "entry", "north", name.split("-")[0], name, 1e9)
 
     def pump(self, now: float) -> None:
-        """Do all that the scheduler allows."""
+        """Run the scheduler until it allows no further action."""
         demand = [ClassDemand("draft", 9, 1.0), ClassDemand("hold", len(self.queue), 0.0)]
         self.slot.set_demand("entry", demand, now)
         acted = True
@@ -98,7 +98,7 @@
             acted = any((self.pause(now), self.start(now), self.resume(now), self.grant(now)))
 
     def pause(self, now: float) -> bool:
-        """Pause a victim, if there is one."""
+        """Pause a request, if one is to be preempted."""
         work = self.slot.next_pause(now)
         if work is not None:
             self.pauses += 1
@@ -108,7 +108,7 @@
         return work is not None
 
     def start(self, now: float) -> bool:
-        """Start a request, if there is one, and draw its length."""
+        """Start a request with a random length, if one may start."""
         work = self.slot.next_start(now)
         if work is not None:
             mean_s = HOLD_S if work.class_name == "hold" else DRAFT_S
@@ -119,19 +119,19 @@
         return work is not None
 
     def resume(self, now: float) -> bool:
-        """Resume a paused request, if there is room."""
+        """Resume a paused request, if a place is free."""
         work = self.slot.next_resume(now)
         if work is not None:
             self.go(work.request, now)
         return work is not None
 
     def go(self, name: str, now: float) -> None:
-        """Let a request run for what is left of it."""
+        """Run a request for its remaining time."""
         self.ends_at[name] = now + self.left_s[name]
         self.add_event(self.ends_at[name], "end", name)
 
     def grant(self, now: float) -> bool:
-        """Use a grant, if there is one."""
+        """Use a grant, if one is issued."""
         grant = self.slot.next_grant(now)
         if grant is None:
             return False
--- a/benchmarks/bench_protection.py
+++ b/benchmarks/bench_protection.py
@@ -1,7 +1,7 @@
-"""Ways to keep urgent requests from waiting behind routine ones: compared on one group.
+"""Comparison of mechanisms that protect urgent requests from routine ones, on one group.
 
-Places kept free, running answers paused, both, neither, and both with the queue in the slots
-instead of the entries, each at 2.5 times the capacity on the same processes.
+The variants are reserved places, preemption of running requests, both, neither, and both with the
+queue in the slots instead of the entries, each at 2.5 times the capacity on the same processes.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def booking_desk() -> Deployment:
-    """Return the group in which protected and routine classes share engines, alone."""
+    """Return a deployment of the one group in which protected and routine classes share engines."""
     whole = klidne(ENGINE)
     demand = tuple(part for part in whole.demand if part.group == "booking-desk")
     names = [part.class_name for part in demand]
@@ -41,7 +41,7 @@
 def variants(deployment: Deployment) -> dict[str, list[Any]]:
     """Return the records of each variant."""
     classes = list(deployment.classes.values())
-    # The checks refuse a protected class that has neither means, so none is protected there.
+    # Validation rejects a protected class with neither mechanism, so no class is protected then.
     unprotected = [attrs.evolve(item, protected=False) for item in classes]
     return {
         "neither": [PolicyRecord(reserve=False, preemption=False), *unprotected],
@@ -53,7 +53,7 @@
 
 
 def summarise(deployment: Deployment, run: VariantRun) -> dict[str, float]:
-    """Return the figures of one variant."""
+    """Return the summary figures of one variant."""
     protected = [r for r in run.results if deployment.classes[r.class_name].preemptible is False]
     routine = [r for r in run.results if deployment.classes[r.class_name].preemptible]
     first = [r.first_token_s for r in protected if r.outcome == "whole"]
--- a/benchmarks/fuzz_once.py
+++ b/benchmarks/fuzz_once.py
@@ -1,7 +1,7 @@
-"""Longer runs of the state machines of requests that run at most once.
+"""Extended runs of the state-machine tests of at-most-once requests.
 
-``make fuzz SECONDS=n SEED=s`` runs the seeds from s on until the time is up. A seed that fails is
-printed as one command, with the shortest history that shows the fault.
+``make fuzz SECONDS=n SEED=s`` runs successive seeds from s until the time is over. A failing seed
+is printed as one command, with the shortest history that reproduces the fault.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 
 
 def find_fault(seed):
-    """Return the error that the histories of a seed end in, None if there is none."""
+    """Return the error found by the histories of a seed, or None."""
     try:
         run_machine(ClaimStore, seed, EXAMPLES, STEPS, (Phase.generate, Phase.shrink))
         run_era_machine(seed, EXAMPLES, STEPS, (Phase.generate, Phase.shrink))
