--- a/benchmarks/_accounting.py
+++ b/benchmarks/_accounting.py
@@ -7,11 +7,11 @@
 
 import attrs
 
-SWITCH_NS = 1e-9
+SECONDS_PER_NS = 1e-9
 
 
 @attrs.frozen
-class Reading:
+class ProcessCounters:
     """Counters of one process at one point in time.
 
     Parameters
@@ -40,16 +40,16 @@
     calls: int
 
 
-def read_process(pid: int) -> Reading:
+def read_process(pid: int) -> ProcessCounters:
     """Return the counters of a process."""
     directory = Path(f"/proc/{pid}")
     threads = (directory / "task").iterdir()
     # The scheduler statistics have nanosecond resolution. The usual process times have 10 ms, which
     # would show an idle process as 0 % or 1 % of a core.
-    cpu_s = sum(int((t / "schedstat").read_text().split()[0]) for t in threads) * SWITCH_NS
+    cpu_s = sum(int((t / "schedstat").read_text().split()[0]) for t in threads) * SECONDS_PER_NS
     status = _fields(directory / "status")
     io = _fields(directory / "io")
-    return Reading(
+    return ProcessCounters(
         time.monotonic(),
         cpu_s,
         int(status["VmRSS"].split()[0]) / 1024,
--- a/benchmarks/_balancer.py
+++ b/benchmarks/_balancer.py
@@ -12,13 +12,13 @@
 from _callers import CallResult, PlannedCall, new_session, send
 from _harness import Cluster
 
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 """Time between two readiness polls of an entry, seconds."""
 
-NOT_TAKEN = ("connect", "leaving", "not_ready")
+NOT_ACCEPTED = ("connect", "leaving", "not_ready")
 """Errors that mean that the entry did not accept the call; it is sent to another entry."""
 
-TRIES = 4
+MAX_ATTEMPTS = 4
 
 
 @attrs.define
@@ -64,9 +64,9 @@
     ) -> BalancerCounts:
         """Send ``rate`` calls per second until ``stop`` is set, then wait for the answers."""
         async with new_session() as session:
-            looking = asyncio.create_task(self._look(session))
+            polling = asyncio.create_task(self._poll_entries(session))
             while not self._ready:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
             calls = []
             number = 0
             start = time.monotonic()
@@ -75,17 +75,17 @@
                 calls.append(asyncio.create_task(self._call(session, path, template, number)))
                 await asyncio.sleep(max(0.0, start + number / rate - time.monotonic()))
             await asyncio.gather(*calls)
-            looking.cancel()
+            polling.cancel()
         return self.counts
 
-    async def _look(self, session: aiohttp.ClientSession) -> None:
+    async def _poll_entries(self, session: aiohttp.ClientSession) -> None:
         while True:
             entries = list(self.cluster.entries.values())
             ready = await asyncio.gather(*(self._is_ready(session, entry) for entry in entries))
             self._ready = [
                 entry.url for entry, is_ready in zip(entries, ready, strict=True) if is_ready
             ]
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _is_ready(self, session: aiohttp.ClientSession, entry: Any) -> bool:
         try:
@@ -101,16 +101,16 @@
         length = self._rng.randint(*template.body["lengths"])
         body = {k: v for k, v in template.body.items() if k != "lengths"}
         body |= {"messages": messages, "max_tokens": length, "min_tokens": length}
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             url = self._rng.choice(self._ready) + path
             result = await send(session, attrs.evolve(template, url=url, body=body), self.seed)
-            if result.error not in NOT_TAKEN or result.tokens:
+            if result.error not in NOT_ACCEPTED or result.tokens:
                 break
             self.counts.moved += 1
-            await asyncio.sleep(LOOK_S)
-        self._note(result)
+            await asyncio.sleep(POLL_INTERVAL_S)
+        self._record_result(result)
 
-    def _note(self, result: CallResult) -> None:
+    def _record_result(self, result: CallResult) -> None:
         if result.outcome == "whole":
             self.counts.whole += 1
         elif result.outcome == "refused":
--- a/benchmarks/_callers.py
+++ b/benchmarks/_callers.py
@@ -147,7 +147,7 @@
         return reader.result("broken", error="connect")
     except (aiohttp.ClientError, ConnectionError):
         return reader.result("broken", error=reader.error or "connection")
-    return reader.judge()
+    return reader.classify()
 
 
 class _AnswerReader:
@@ -188,19 +188,19 @@
             try:
                 async for piece in response.content.iter_any():
                     pieces.append(piece)
-                    self._note(piece.count(CONTENT_MARK))
+                    self._record_tokens(piece.count(CONTENT_MARK))
             finally:
                 self.content = b"".join(pieces)
                 self._read_error()
 
-    def judge(self) -> CallResult:
+    def classify(self) -> CallResult:
         """Classify the answer by comparing it with the expected one."""
         if self.status != 200:
             return self.result("refused", error=self.error)
         if self.error:
             return self.result("broken", error=self.error)
         if self.call.service_path:
-            return self._judge_service()
+            return self._classify_service()
         tokens, finished = self._tokens()
         expected = expected_answer(self.call.body, self.seed)
         if tokens != expected[: len(tokens)]:
@@ -228,8 +228,8 @@
             key=self.call.key,
         )
 
-    def _judge_service(self) -> CallResult:
-        self._note(1)
+    def _classify_service(self) -> CallResult:
+        self._record_tokens(1)
         digest = service_digest("POST", self.call.service_path, self.call.content)
         return self.result("whole" if json.loads(self.content)["digest"] == digest else "mixed")
 
@@ -239,7 +239,7 @@
         message = json.loads(self.content)["choices"][0]["message"]["content"]
         return [part + " " for part in message.split()], True
 
-    def _note(self, tokens: int) -> None:
+    def _record_tokens(self, tokens: int) -> None:
         if not tokens:
             return
         now = time.monotonic()
--- a/benchmarks/_closed_loop.py
+++ b/benchmarks/_closed_loop.py
@@ -81,12 +81,15 @@
         await asyncio.sleep(max(0.0, start_at - time.monotonic()))
         begin = start_at + plan.warm_s
         await asyncio.gather(
-            *(_call_in_turn(plan, index, session, counts, begin) for index in range(plan.callers))
+            *(
+                _call_sequentially(plan, index, session, counts, begin)
+                for index in range(plan.callers)
+            )
         )
     return counts
 
 
-async def _call_in_turn(
+async def _call_sequentially(
     plan: LoopPlan, index: int, session: Any, counts: LoopCounts, begin: float
 ) -> None:
     end = begin + plan.measured_s
@@ -113,9 +116,9 @@
 async def run_processes(processes: Processes, plan: LoopPlan, count: int, name: str) -> LoopCounts:
     """Divide the callers of a plan among processes and return the summed counts."""
     names = [f"{name}-{index}" for index in range(count)]
-    share = attrs.evolve(plan, callers=plan.callers // count)
+    process_plan = attrs.evolve(plan, callers=plan.callers // count)
     commands = [
-        _write_plan(processes, part, attrs.evolve(share, first_number=index * 10_000_000))
+        _write_plan(processes, part, attrs.evolve(process_plan, first_number=index * 10_000_000))
         for index, part in enumerate(names)
     ]
     callers = await processes.start_callers(names, commands)
--- a/benchmarks/_control_stages.py
+++ b/benchmarks/_control_stages.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 import attrs
-from _accounting import Reading, read_process
+from _accounting import ProcessCounters, read_process
 from _callers import PlannedCall, run_plan
 from _harness import PEER_KEY, Cluster
 from _processes import Process
@@ -24,7 +24,7 @@
 IDLE_WINDOW_S = 2.6
 """Window of an idle process, seconds: long enough for the heartbeats, sent every second."""
 SETTLE_S = 0.25
-GROWN_S = 0.8
+CONFIGURATION_WAIT_S = 0.8
 """Time for new peers to receive the configuration, seconds."""
 SEED = 1
 GROUP = GroupRecord(name="advisor", models=["standin"], places=64, subset=256)
@@ -120,9 +120,9 @@
             self.process = await cluster.start_entry("measured", DOMAIN)
         else:
             self.process = await cluster.start_slot("measured", GROUP.name, DOMAIN, self.engine.url)
-        self.crowd = await self._start_crowd()
+        self.peer_pool = await self._start_peer_pool()
 
-    async def _start_crowd(self) -> Process:
+    async def _start_peer_pool(self) -> Process:
         kind = "slots" if self.role == "entry" else "entries"
         settings = {
             "failure_domain": DOMAIN,
@@ -136,13 +136,13 @@
             settings |= {"group": GROUP.name, "upstream_url": self.engine.url}
         path = self.cluster.directory / "crowd.json"
         path.write_text(json.dumps(settings))
-        script = str(Path(__file__).with_name("_crowd.py"))
+        script = str(Path(__file__).with_name("_peer_pool.py"))
         command = [sys.executable, script, kind, str(path)]
         return await self.cluster.processes.start("crowd", command)
 
-    async def grow_crowd(self, count: int) -> None:
+    async def grow_peers(self, count: int) -> None:
         """Start peers until ``count`` are connected to the measured process."""
-        url = f"{self.crowd.url}/grow"
+        url = f"{self.peer_pool.url}/grow"
         async with self.cluster.session.post(url, json={"count": count}) as response:
             response.raise_for_status()
             entries = await response.json()
@@ -153,7 +153,7 @@
                 response.raise_for_status()
         while await self._connected() < count:
             await asyncio.sleep(0.05)
-        await asyncio.sleep(GROWN_S)
+        await asyncio.sleep(CONFIGURATION_WAIT_S)
         if entries and self.role == "slot":
             self.callers_url = f"http://127.0.0.1:{entries[0]['port']}{CHAT_PATH}"
         elif self.role == "entry":
@@ -200,8 +200,8 @@
 
     async def _lowest_revision(self) -> int:
         own = (await self._read_status())["revision"]
-        crowd = (await self.cluster.read_json(f"{self.crowd.url}/revision"))["revision"]
-        return own if crowd is None else min(own, crowd)
+        lowest = (await self.cluster.read_json(f"{self.peer_pool.url}/revision"))["revision"]
+        return own if lowest is None else min(own, lowest)
 
     async def measure(
         self,
@@ -237,7 +237,11 @@
         self.samples.append(attrs.evolve(sample, stage=stage, x=x))
 
     def _compare(
-        self, stage: str, x: float, readings: tuple[Reading, Reading], traffic: tuple[dict, dict]
+        self,
+        stage: str,
+        x: float,
+        readings: tuple[ProcessCounters, ProcessCounters],
+        traffic: tuple[dict, dict],
     ) -> Sample:
         first, last = readings
         seconds = last.at_s - first.at_s
--- a/benchmarks/_harness.py
+++ b/benchmarks/_harness.py
@@ -119,7 +119,7 @@
         RuntimeError
             If a record is not accepted; none of them is put in that case.
         """
-        changes = [change_of([item], await self._revision_put(item)) for item in records]
+        changes = [change_of([item], await self._current_revision(item)) for item in records]
         accepted = await self.log.commit(changes, author, time.time())
         if accepted.is_err():
             raise RuntimeError(f"records not accepted: {accepted.err()}")
@@ -178,9 +178,9 @@
                     raise RuntimeError(f"{daemon.name} does not have revision {revision} in force")
                 await asyncio.sleep(POLL_S)
 
-    async def _revision_put(self, item: Any) -> int:
-        known = (await self.log.get(item.kind, item.name)).unwrap()
-        return 0 if known is None else known.entry.revision
+    async def _current_revision(self, item: Any) -> int:
+        row = (await self.log.get(item.kind, item.name)).unwrap()
+        return 0 if row is None else row.entry.revision
 
     async def _revision_of(self, daemon: Process) -> int:
         status = await self.read_json(f"{daemon.status_url}/status")
--- a/benchmarks/_imports.py
+++ b/benchmarks/_imports.py
@@ -43,7 +43,7 @@
     return results
 
 
-def import_in_turn(modules: list[str]) -> list[dict[str, Any]]:
+def import_one_by_one(modules: list[str]) -> list[dict[str, Any]]:
     """Import modules one by one and return the memory that each added, MB."""
     rows = []
     rss, private = _read_memory()
@@ -64,4 +64,4 @@
 
 
 if __name__ == "__main__":
-    print(json.dumps(import_in_turn(sys.argv[1:])))
+    print(json.dumps(import_one_by_one(sys.argv[1:])))
--- a/benchmarks/_open_loop.py
+++ b/benchmarks/_open_loop.py
@@ -17,10 +17,10 @@
 from _callers import CallResult, PlannedCall, run_plan
 from _processes import Process, Processes, wait_for_start
 
-LIMIT_S = 60.0
+CALLER_LIMIT_S = 60.0
 
 
-async def run_plan_apart(
+async def run_plan_in_processes(
     processes: Processes, calls: Sequence[PlannedCall], seed: int, count: int, name: str
 ) -> list[CallResult]:
     """Send the calls from ``count`` processes and return all results.
@@ -53,7 +53,7 @@
 
 
 async def _read_results(processes: Processes, caller: Process) -> list[CallResult]:
-    status = await caller.wait(LIMIT_S)
+    status = await caller.wait(CALLER_LIMIT_S)
     if status != 0:
         raise RuntimeError(f"{caller.name} exited with status {status}: {caller.log_tail()}")
     answer = processes.directory / f"{caller.name}.result.json"
--- a/benchmarks/_crowd.py
+++ b/benchmarks/_peer_pool.py
@@ -1,6 +1,6 @@
 """Many slots or entries in one process, used as peers of a measured process.
 
-``python benchmarks/_crowd.py slots|entries SETTINGS`` prints its port as one JSON line.
+``python benchmarks/_peer_pool.py slots|entries SETTINGS`` prints its port as one JSON line.
 ``POST /grow {"count": n}`` starts members until there are ``n`` and returns the VM list entries of
 the new ones. ``GET /revision`` returns the lowest revision in force among the members.
 """
@@ -29,7 +29,7 @@
 }
 
 
-class Crowd:
+class PeerPool:
     """Slots or entries that run in this process.
 
     Parameters
@@ -81,9 +81,9 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(number, stopped.set)
     app = web.Application()
-    crowd = Crowd(kind, settings)
-    app.router.add_post("/grow", crowd.grow)
-    app.router.add_get("/revision", crowd.read_revision)
+    peer_pool = PeerPool(kind, settings)
+    app.router.add_post("/grow", peer_pool.grow)
+    app.router.add_get("/revision", peer_pool.read_revision)
     runner = web.AppRunner(app, access_log=None)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
--- a/benchmarks/_processes.py
+++ b/benchmarks/_processes.py
@@ -17,7 +17,7 @@
 
 START_LIMIT_S = 30.0
 STOP_LIMIT_S = 5.0
-BEGIN_S = 0.1
+START_DELAY_S = 0.1
 """Time from the start command for the callers to their first request, seconds."""
 LOG_TAIL_CHARACTERS = 2000
 BIN = Path(sys.executable).parent
@@ -144,7 +144,7 @@
         """
         callers = await asyncio.gather(*map(self.launch, names, commands))
         await asyncio.gather(*(caller.read_listening() for caller in callers))
-        start_at = time.monotonic() + BEGIN_S
+        start_at = time.monotonic() + START_DELAY_S
         for caller in callers:
             caller.process.stdin.write(f"{start_at}\n".encode())
         return callers
--- a/benchmarks/_spread.py
+++ b/benchmarks/_spread.py
@@ -10,12 +10,12 @@
 from _harness import Cluster
 from _processes import Process
 
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 """Time between two polls of a process, seconds; measured delays are too long by up to this."""
 
 
 @attrs.define
-class Seen:
+class ObservedRevisions:
     """Revisions reported by one incarnation of a process.
 
     Parameters
@@ -36,7 +36,7 @@
     reverts: int = 0
 
 
-class SpreadWatch:
+class RevisionMonitor:
     """Monitor that polls the status of every process.
 
     Parameters
@@ -46,10 +46,10 @@
 
     def __init__(self, cluster: Cluster):
         self.cluster = cluster
-        self.seen: dict[tuple[str, str], Seen] = {}
+        self.observed: dict[tuple[str, str], ObservedRevisions] = {}
         self._accepted: list[tuple[float, int]] = []
 
-    def accepted(self, revision: int, at: float) -> None:
+    def record_accepted(self, revision: int, at: float) -> None:
         """Record an accepted change; the time until it is in force is measured from ``at``."""
         self._accepted.append((at, revision))
 
@@ -57,9 +57,9 @@
         """Poll until cancelled."""
         while True:
             daemons = [*self.cluster.slots.values(), *self.cluster.entries.values()]
-            await asyncio.gather(*map(self._look, daemons), asyncio.sleep(LOOK_S))
+            await asyncio.gather(*map(self._poll_process, daemons), asyncio.sleep(POLL_INTERVAL_S))
 
-    async def _look(self, daemon: Process) -> None:
+    async def _poll_process(self, daemon: Process) -> None:
         try:
             page = await self.cluster.read_json(f"{daemon.status_url}/status")
         except aiohttp.ClientError:
@@ -68,17 +68,17 @@
         if not revision:
             return
         key = (page["vm"], page["incarnation"])
-        seen = self.seen.setdefault(key, Seen(now, [(now, revision)], now))
-        seen.last_at = now
-        known = seen.reached[-1][1]
-        seen.reverts += revision < known
+        observed = self.observed.setdefault(key, ObservedRevisions(now, [(now, revision)], now))
+        observed.last_at = now
+        known = observed.reached[-1][1]
+        observed.reverts += revision < known
         if revision != known:
-            seen.reached.append((now, revision))
+            observed.reached.append((now, revision))
 
     @property
     def reverts(self) -> int:
         """Number of times that any process went back to an older revision."""
-        return sum(seen.reverts for seen in self.seen.values())
+        return sum(observed.reverts for observed in self.observed.values())
 
     def delays(self) -> list[float]:
         """Return, for each change, the time until the last process had it in force, seconds.
@@ -88,11 +88,13 @@
         delays = []
         for at, revision in self._accepted:
             worst = 0.0
-            for seen in self.seen.values():
-                reached = next((when for when, value in seen.reached if value >= revision), None)
+            for observed in self.observed.values():
+                reached = next(
+                    (when for when, value in observed.reached if value >= revision), None
+                )
                 if reached is None:
-                    worst = max(worst, seen.last_at - at)
-                elif seen.first_at < at:
+                    worst = max(worst, observed.last_at - at)
+                elif observed.first_at < at:
                     worst = max(worst, reached - at)
             delays.append(worst)
         return delays
--- a/benchmarks/_table_calls.py
+++ b/benchmarks/_table_calls.py
@@ -29,10 +29,10 @@
 
 
 async def _count(table: MemoryTable, log: RecordLog) -> dict[str, int]:
-    known = (await log.get("organisation", "org-0")).unwrap().entry
+    current = (await log.get("organisation", "org-0")).unwrap().entry
     reads, writes = table.reads, table.writes
-    changed = organisation_record("org-0", requests_per_s=known.revision + 1.0)
-    (await log.put([changed], "bench", known.revision, 0.0)).unwrap()
+    changed = organisation_record("org-0", requests_per_s=current.revision + 1.0)
+    (await log.put([changed], "bench", current.revision, 0.0)).unwrap()
     counts = {"change_reads": table.reads - reads, "change_writes": table.writes - writes}
     reads = table.reads
     (await log.read_all()).unwrap()
--- a/benchmarks/_variants.py
+++ b/benchmarks/_variants.py
@@ -9,7 +9,7 @@
 from _callers import CallResult, PlannedCall
 from _deployments import Deployment
 from _harness import Cluster
-from _open_loop import run_plan_apart
+from _open_loop import run_plan_in_processes
 from _summary import attained
 
 CALLER_PROCESSES = 2
@@ -42,7 +42,9 @@
         revision = await cluster.put_records(records)
         await cluster.wait_in_force(revision)
         before = await count_generated(cluster)
-        results = await run_plan_apart(cluster.processes, calls, seed, CALLER_PROCESSES, name)
+        results = await run_plan_in_processes(
+            cluster.processes, calls, seed, CALLER_PROCESSES, name
+        )
         runs[name] = VariantRun(results, await count_generated(cluster) - before)
     return runs
 
--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -21,7 +21,7 @@
 from _processes import Process
 from _records import CHAT_PATH, api_key, class_route, organisation_record
 from _report import print_result, print_table
-from _spread import SpreadWatch
+from _spread import RevisionMonitor
 
 from burdockquay_standins import EngineParameters, PlatformParameters
 from burdockquay_state import (
@@ -44,12 +44,12 @@
 COUNTER = "counter"
 CHANGES = 4
 CHANGE_PAUSE_S = 0.4
-INCREMENTS = 12
-LOST_CONFIRMATIONS = 0.2
+INCREMENTS_PER_OPERATOR = 12
+LOST_CONFIRMATION_SHARE = 0.2
 STALE_S = 1.5
 OUTAGE_S = 2.0
 READY_LIMIT_S = 4.0
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 LIST_WATCH_S = 2.0
 SLOTS_AT_ONCE = 4
 ENTRIES_AT_ONCE = 2
@@ -108,7 +108,7 @@
 
     def __init__(self, cluster: Cluster):
         self.cluster = cluster
-        self.watch = SpreadWatch(cluster)
+        self.monitor = RevisionMonitor(cluster)
         self.figures = Figures()
         self.engines: dict[str, Process] = {}
 
@@ -140,21 +140,21 @@
     async def measure(self) -> BalancerCounts:
         """Send the load while all operations and faults are applied."""
         stop = asyncio.Event()
-        watching = asyncio.create_task(self.watch.run())
+        monitoring = asyncio.create_task(self.monitor.run())
         load = asyncio.create_task(Balancer(self.cluster, SEED).run(CHAT_PATH, CALL, RATE, stop))
         try:
             await self._change_records()
-            await self._count_together()
-            await self._change_with_old_reads()
-            await self._lose_platform()
-            await self._leave_by_list()
+            await self._increment_concurrently()
+            await self._change_with_stale_reads()
+            await self._run_platform_outage()
+            await self._drain_by_list()
             await self._replace_all()
             await self._change_records()
             await asyncio.sleep(1.0)
         finally:
             stop.set()
             counts = await load
-            watching.cancel()
+            monitoring.cancel()
         return counts
 
     async def _change_records(self) -> None:
@@ -175,7 +175,7 @@
     async def _put_at(self, log: RecordLog, records: Sequence, author: str, expected: int) -> bool:
         result = await log.put(records, author, expected, time.time())
         if result.is_ok():
-            self.watch.accepted(result.ok().revision, time.monotonic())
+            self.monitor.record_accepted(result.ok().revision, time.monotonic())
             return True
         kind = result.err().kind
         name = kind.value
@@ -184,24 +184,24 @@
             raise RuntimeError(f"change not accepted: {result.err()}")
         return False
 
-    async def _count_together(self) -> None:
+    async def _increment_concurrently(self) -> None:
         """Let two operators increment the same record concurrently while confirmations are lost."""
         platform = self.cluster.platform
-        await self.cluster.switch_faults(platform, lose_confirmation=LOST_CONFIRMATIONS)
-        await asyncio.gather(self._count("first"), self._count("second"))
+        await self.cluster.switch_faults(platform, lose_confirmation=LOST_CONFIRMATION_SHARE)
+        await asyncio.gather(self._increment("first"), self._increment("second"))
         await self.cluster.switch_faults(platform, lose_confirmation=0)
         self.figures.counter = await self._read_counter() - 1
 
-    async def _count(self, author: str) -> None:
+    async def _increment(self, author: str) -> None:
         log = self.cluster.log
-        left = INCREMENTS
-        while left:
+        remaining = INCREMENTS_PER_OPERATOR
+        while remaining:
             row = (await log.get("organisation", COUNTER)).unwrap()
             entry = row.entry
             record = decode_record(entry.kind, entry.name, entry.bodies).unwrap()
             changed = attrs.evolve(record, outstanding=record.outstanding + 1)
             if await self._put_at(log, [changed], author, entry.revision):
-                left -= 1
+                remaining -= 1
                 self.figures.increments += 1
             await asyncio.sleep(0.01)
 
@@ -210,7 +210,7 @@
         entry = row.entry
         return decode_record(entry.kind, entry.name, entry.bodies).unwrap().outstanding
 
-    async def _change_with_old_reads(self) -> None:
+    async def _change_with_stale_reads(self) -> None:
         """Change a record while reads of the table return the state before the change."""
         platform = self.cluster.platform
         row = (await self.cluster.log.get("class", "draft")).unwrap()
@@ -222,10 +222,10 @@
             [attrs.evolve(CLASS, priority=50)], "operator", row.entry.revision, time.time()
         )
         if result.is_ok():
-            self.watch.accepted(result.ok().revision, begun + STALE_S)
+            self.monitor.record_accepted(result.ok().revision, begun + STALE_S)
         await asyncio.sleep(max(0.0, begun + STALE_S - time.monotonic()))
 
-    async def _lose_platform(self) -> None:
+    async def _run_platform_outage(self) -> None:
         """Take the platform down, start another entry meanwhile, and try to change a record."""
         platform = self.cluster.platform
         await self.cluster.switch_faults(platform, outage=True)
@@ -242,7 +242,7 @@
             not self.figures.ready_in_outage and time.monotonic() < limit
         ):
             self.figures.ready_in_outage |= await self._is_ready(self.cluster.entries[vm])
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         await self.cluster.switch_faults(platform, outage=False)
         await self._put([attrs.evolve(CLASS, priority=60)], "operator")
 
@@ -257,12 +257,14 @@
         except aiohttp.ClientError:
             return False
 
-    async def _leave_by_list(self) -> None:
+    async def _drain_by_list(self) -> None:
         """Drain a slot through the VM list alone, and then replace it."""
         vm = "slot-0"
         await self.cluster.set_vm_state(vm, VmState.LEAVING)
         shown_at = time.monotonic() + VM_LIST_LAG_S
-        await self._note_new_work(vm, shown_at, lambda: time.monotonic() < shown_at + LIST_WATCH_S)
+        await self._record_new_work(
+            vm, shown_at, lambda: time.monotonic() < shown_at + LIST_WATCH_S
+        )
         await self._replace_slot(vm)
 
     async def _replace_all(self) -> None:
@@ -282,10 +284,10 @@
         await self.start_slot(f"{vm}-new", self.cluster.vms[vm].failure_domain)
         await self._wait_ready(self.cluster.slots[f"{vm}-new"])
         process = self.cluster.slots[vm]
-        left_at = time.monotonic()
+        leaving_at = time.monotonic()
         process.terminate()
-        await self._note_new_work(vm, left_at, lambda: process.running)
-        await self._forget(vm, self.cluster.slots)
+        await self._record_new_work(vm, leaving_at, lambda: process.running)
+        await self._remove_exited(vm, self.cluster.slots)
 
     async def _replace_entry(self, vm: str) -> None:
         await self.start_entry(f"{vm}-new", self.cluster.vms[vm].failure_domain)
@@ -293,9 +295,9 @@
         process = self.cluster.entries[vm]
         process.terminate()
         await process.wait(limit_s=10.0)
-        await self._forget(vm, self.cluster.entries)
+        await self._remove_exited(vm, self.cluster.entries)
 
-    async def _forget(self, vm: str, processes: dict[str, Process]) -> None:
+    async def _remove_exited(self, vm: str, processes: dict[str, Process]) -> None:
         """Remove an exited process; the VM list shows it until its delay has passed."""
         process = processes.pop(vm)
         code = await process.wait()
@@ -305,19 +307,19 @@
 
     async def _wait_ready(self, process: Process) -> None:
         while not await self._is_ready(process):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _note_new_work(self, vm: str, left_at: float, goes_on) -> None:
-        """Record how long after ``left_at`` the engine of a slot still started new requests."""
+    async def _record_new_work(self, vm: str, leaving_at: float, keep_watching) -> None:
+        """Record how long after ``leaving_at`` the engine of a slot still started new requests."""
         engine = self.engines[vm]
         begun = await self._count_starts(engine)
-        last_at = left_at
-        while goes_on():
-            await asyncio.sleep(LOOK_S)
+        last_at = leaving_at
+        while keep_watching():
+            await asyncio.sleep(POLL_INTERVAL_S)
             now_begun = await self._count_starts(engine)
             if now_begun != begun:
                 begun, last_at = now_begun, time.monotonic()
-        self.figures.new_work_s.append(max(0.0, last_at - left_at))
+        self.figures.new_work_s.append(max(0.0, last_at - leaving_at))
 
     async def _count_starts(self, engine: Process) -> int:
         stats = await self.cluster.read_json(f"{engine.url}/stats")
@@ -326,8 +328,8 @@
 
 def report(run: ConfigRun, counts: BalancerCounts) -> None:
     """Print the figures."""
-    figures, watch = run.figures, run.watch
-    delays = watch.delays()
+    figures, monitor = run.figures, run.monitor
+    delays = monitor.delays()
     print_table(
         "Changes",
         ("accepted", "in force max s", "median s", "incarnations", "refused"),
@@ -336,7 +338,7 @@
                 len(delays),
                 max(delays),
                 sorted(delays)[len(delays) // 2],
-                len(watch.seen),
+                len(monitor.observed),
                 str(figures.refusals),
             )
         ],
@@ -356,7 +358,7 @@
     print_result(
         {
             "in_force_s_max": max(delays),
-            "reverts": watch.reverts,
+            "reverts": monitor.reverts,
             "lost_updates": figures.increments - figures.counter,
             "new_work_after_leaving_s_max": max(figures.new_work_s),
             "cut_requests": len(counts.cut),
--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -86,7 +86,7 @@
 async def measure_peers(bench: Bench) -> Sample:
     """Measure with more and more peers; return the sample with all of them."""
     for count in PEERS[bench.role]:
-        await bench.grow_crowd(count)
+        await bench.grow_peers(count)
         sample = await bench.measure("peers", count, window_s=IDLE_WINDOW_S)
     return sample
 
--- a/benchmarks/bench_decisions.py
+++ b/benchmarks/bench_decisions.py
@@ -51,7 +51,7 @@
     return best / TURNS * 1e6
 
 
-def waiting(number: int) -> Waiting:
+def make_queued_request(number: int) -> Waiting:
     class_name = list(CLASSES)[number % len(CLASSES)]
     organisation = ORGANISATIONS[number % len(ORGANISATIONS)]
     return Waiting(f"r{number}", organisation, class_name, number * 1e-3, 1e9)
@@ -62,12 +62,12 @@
     queue = queue_policies.get(policy)(CLASSES, {})
     numbers = iter(range(10**9))
     for _ in range(size):
-        queue.push(waiting(next(numbers)), 0.0)
+        queue.push(make_queued_request(next(numbers)), 0.0)
 
     def step(turn: int) -> None:
-        queue.push(waiting(next(numbers)), 1.0)
-        one = queue.pop(1.0)
-        queue.charge(one.class_name, one.organisation, 40, 1.0)
+        queue.push(make_queued_request(next(numbers)), 1.0)
+        queued = queue.pop(1.0)
+        queue.charge(queued.class_name, queued.organisation, 40, 1.0)
 
     return microseconds(step)
 
@@ -81,7 +81,7 @@
     controller.configure(CLASSES, records, PolicyRecord(), 0.0)
     queue = queue_policies.get("class_share")(CLASSES, {})
     for number in range(size):
-        queue.push(waiting(number), 0.0)
+        queue.push(make_queued_request(number), 0.0)
     return microseconds(
         lambda turn: controller.admit(ORGANISATIONS[turn % 10], "draft", queue, turn * 1e-4)
     )
@@ -130,7 +130,7 @@
 
 
 def main() -> None:
-    matters = {
+    measurements = {
         "queue_fifo": (QUEUED, lambda size: measure_queue("fifo", size)),
         "queue_class_share": (QUEUED, lambda size: measure_queue("class_share", size)),
         "admission": (QUEUED, measure_admission),
@@ -140,7 +140,7 @@
     }
     result: dict[str, float] = {}
     rows = []
-    for name, (sizes, measure) in matters.items():
+    for name, (sizes, measure) in measurements.items():
         small, large = (measure(size) for size in sizes)
         slope = (large - small) / (sizes[1] - sizes[0])
         result[f"{name}_us_{sizes[0]}"] = small
--- a/benchmarks/bench_era.py
+++ b/benchmarks/bench_era.py
@@ -18,43 +18,43 @@
 from concurrent.futures import ProcessPoolExecutor
 
 import attrs
-from _era_claims import ClaimsOutcome, play_claims
+from _era_claims import ClaimsOutcome, simulate_claims
 from _report import print_load_average, print_result, print_table
 
 from burdockquay_platform.tests.era_play import Course, EraOutcome, play_era
 
 FEEDS = (4, 30, 100)
-AT_ONCE = 5
+PARALLEL_SIMULATIONS = 5
 """Number of parallel simulations, each in a separate process."""
 
-RETURN = Course("Return from a copy", True)
+RESTORE = Course("Return from a copy", True)
 CUT_OFF = Course("Return from a copy, a quarter of the processes cut off for 4 s more", True, 0.25)
 OUTAGE = Course("Outage that loses nothing", False)
-COURSES = (RETURN, CUT_OFF, OUTAGE)
+COURSES = (RESTORE, CUT_OFF, OUTAGE)
 
 FAULTS = ("keys_late", "config_back", "leaving_late")
-BESIDE = ("agree_s", "calls", "kib_told", "served_during")
+ADDITIONAL_FIGURES = ("agree_s", "calls", "kib_told", "served_during")
 
 
 def main() -> None:
-    plays = list(itertools.product(reversed(FEEDS), COURSES))
+    runs = list(itertools.product(reversed(FEEDS), COURSES))
     spawn = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(AT_ONCE, spawn) as pool:
-        claims_played = pool.submit(play_claims)
-        outcomes: list[EraOutcome] = list(pool.map(play_era, *zip(*plays, strict=True)))
-        claims: ClaimsOutcome = claims_played.result()
-    found = {play: attrs.asdict(outcome) for play, outcome in zip(plays, outcomes, strict=True)}
+    with ProcessPoolExecutor(PARALLEL_SIMULATIONS, spawn) as pool:
+        claims_future = pool.submit(simulate_claims)
+        outcomes: list[EraOutcome] = list(pool.map(play_era, *zip(*runs, strict=True)))
+        claims: ClaimsOutcome = claims_future.result()
+    results = {run: attrs.asdict(outcome) for run, outcome in zip(runs, outcomes, strict=True)}
     for course in COURSES:
-        rows = [(feeds, *found[feeds, course].values()) for feeds in FEEDS]
+        rows = [(feeds, *results[feeds, course].values()) for feeds in FEEDS]
         print_table(course.title, ["feeds", *attrs.fields_dict(EraOutcome)], rows)
     claimed = attrs.asdict(claims)
     print_table("Requests that run at most once", [*claimed], [[*claimed.values()]])
     print_load_average()
-    most = FEEDS[-1]
-    result = found[most, RETURN]
-    result |= {name: sum(figures[name] for figures in found.values()) for name in FAULTS}
-    result |= {f"cut_off_{name}": found[most, CUT_OFF][name] for name in BESIDE}
-    result |= {f"outage_{name}": found[most, OUTAGE][name] for name in BESIDE}
+    most_feeds = FEEDS[-1]
+    result = results[most_feeds, RESTORE]
+    result |= {name: sum(figures[name] for figures in results.values()) for name in FAULTS}
+    result |= {f"cut_off_{name}": results[most_feeds, CUT_OFF][name] for name in ADDITIONAL_FIGURES}
+    result |= {f"outage_{name}": results[most_feeds, OUTAGE][name] for name in ADDITIONAL_FIGURES}
     result["claims_twice"] = claims.claims_twice
     print_result(result)
 
--- a/benchmarks/bench_faults.py
+++ b/benchmarks/bench_faults.py
@@ -111,8 +111,8 @@
         results, poison, straggler, _ = await asyncio.gather(
             run_plan(calls, SEED, start_at),
             self._send_poison(start_at),
-            self._slow_one(start_at),
-            self._crash_some(start_at),
+            self._slow_straggler(start_at),
+            self._crash_engines(start_at),
         )
         stats = await asyncio.gather(*map(self._stats, self.cluster.upstreams.values()))
         return Measured(
@@ -142,7 +142,7 @@
         key = api_key(organisation)
         return PlannedCall(0.0, url + CHAT_PATH, organisation, demand.class_name, key, body, 10.0)
 
-    async def _slow_one(self, start_at: float) -> StragglerWork:
+    async def _slow_straggler(self, start_at: float) -> StragglerWork:
         slow = self.group[0]
         await _sleep_until(start_at + SLOW_AT_S)
         await self.cluster.switch_faults(slow, slow_factor=SLOW_FACTOR)
@@ -150,10 +150,10 @@
         before = await asyncio.gather(*map(self._starts, self.group))
         await _sleep_until(start_at + LOAD_S)
         after = await asyncio.gather(*map(self._starts, self.group))
-        begun = [b - a for a, b in zip(before, after, strict=True)]
-        return StragglerWork(begun[0], sum(begun), len(begun))
+        started_counts = [b - a for a, b in zip(before, after, strict=True)]
+        return StragglerWork(started_counts[0], sum(started_counts), len(started_counts))
 
-    async def _crash_some(self, start_at: float) -> None:
+    async def _crash_engines(self, start_at: float) -> None:
         for number, at_s in enumerate(CRASHES_AT_S, start=1):
             await _sleep_until(start_at + at_s)
             await self.cluster.switch_faults(self.group[number], crash=True)
@@ -211,11 +211,11 @@
 def _class_row(
     results: Sequence[CallResult], name: str, share: float
 ) -> tuple[str, int, int, float, float, float]:
-    mine = [result for result in results if result.class_name == name]
-    whole = [result for result in mine if result.outcome == "whole"]
+    class_results = [result for result in results if result.class_name == name]
+    whole = [result for result in class_results if result.outcome == "whole"]
     first = quantile([result.first_token_s for result in whole], 0.99)
     gap = max((result.longest_gap_s for result in whole), default=0.0)
-    return name, len(mine), len(whole), share, first, gap
+    return name, len(class_results), len(whole), share, first, gap
 
 
 async def main() -> None:
--- a/benchmarks/bench_flood_model.py
+++ b/benchmarks/bench_flood_model.py
@@ -42,9 +42,9 @@
         self.ends: list[tuple[float, int, str, str]] = []
         self.sent: dict[str, int] = {}
         self.met: dict[str, int] = {}
-        self.arrivals = sorted(self.plan(flood))
+        self.arrivals = sorted(self.make_arrivals(flood))
 
-    def plan(self, flood: bool) -> Iterator[tuple[float, str, str]]:
+    def make_arrivals(self, flood: bool) -> Iterator[tuple[float, str, str]]:
         """Yield the arrivals; a flood does not change those of the other organisations."""
         total = sum(WEIGHTS.values())
         for class_name, part in DEMAND.items():
@@ -81,14 +81,21 @@
         """Start requests while there are places."""
         for waiting in self.queue.expire(now):
             self.admission.finished(waiting.organisation, waiting.class_name, now)
-        while self.free and (one := self.queue.pop(now)) is not None:
+        while self.free and (request := self.queue.pop(now)) is not None:
             self.free -= 1
-            wait_s = now - one.enqueued_at
-            self.admission.started(one.class_name, wait_s, now)
-            self.met[one.organisation] = self.met.get(one.organisation, 0) + (wait_s <= TARGET_S)
+            wait_s = now - request.enqueued_at
+            self.admission.started(request.class_name, wait_s, now)
+            self.met[request.organisation] = self.met.get(request.organisation, 0) + (
+                wait_s <= TARGET_S
+            )
             length_s = self.rng.expovariate(1.0 / SERVICE_S)
-            self.queue.charge(one.class_name, one.organisation, 125 * length_s, now)
-            end = (now + length_s, self.rng.getrandbits(40), one.class_name, one.organisation)
+            self.queue.charge(request.class_name, request.organisation, 125 * length_s, now)
+            end = (
+                now + length_s,
+                self.rng.getrandbits(40),
+                request.class_name,
+                request.organisation,
+            )
             heapq.heappush(self.ends, end)
 
 
--- a/benchmarks/bench_health.py
+++ b/benchmarks/bench_health.py
@@ -32,7 +32,7 @@
     returns: int = 0
 
 
-def succeeds(now: float, rng: random.Random) -> bool:
+def request_succeeds(now: float, rng: random.Random) -> bool:
     if now < DOWN_S:
         return False
     if now < DOWN_S + STRUGGLING_S:
@@ -42,26 +42,26 @@
 
 def run(by_users: bool, needed: int, rng: random.Random) -> Tally:
     """Simulate one failure and recovery, in steps of one request."""
-    gate = ProbeGate(successes_needed=needed)
+    breaker = ProbeGate(successes_needed=needed)
     tally = Tally()
     next_test = 0.0
     step = 1.0 / REQUESTS_PER_S
     for turn in range(int(END_S * REQUESTS_PER_S)):
         now = turn * step
-        if gate.healthy:
-            if not succeeds(now, rng):
+        if breaker.healthy:
+            if not request_succeeds(now, rng):
                 tally.failed += 1
-                gate.failed(now)
+                breaker.failed(now)
                 next_test = now + TEST_EVERY_S
             continue
         tally.lost_service_s += step if now >= DOWN_S + STRUGGLING_S else 0.0
         if now < next_test:
             continue
         next_test = now + TEST_EVERY_S
-        ok = succeeds(now, rng)
+        ok = request_succeeds(now, rng)
         tally.failed += by_users and not ok
-        gate.probe_result(ok, now)
-        tally.returns += gate.healthy
+        breaker.probe_result(ok, now)
+        tally.returns += breaker.healthy
     return tally
 
 
--- a/benchmarks/bench_look.py
+++ b/benchmarks/bench_look.py
@@ -27,7 +27,7 @@
 )
 
 PEERS = 27
-SUBJECTS = 100
+SHARED_PARTS = 100
 """Number of shared prompt parts."""
 BACKLOG = 200_000
 """Tokens waiting at each upstream: so many that no prompt may start."""
@@ -44,19 +44,19 @@
         for peer in range(PEERS):
             share = LoadShare(BACKLOG // PEERS, 1)
             upstream.pending.hear(f"p{peer}", share, NOW)
-        for subject in rng.sample(range(SUBJECTS), 5):
-            upstream.memory.note(f"part{subject}", 9000)
+        for shared_part in rng.sample(range(SHARED_PARTS), 5):
+            upstream.memory.note(f"part{shared_part}", 9000)
         found.append(upstream)
     return found
 
 
 def make_demand(rng: random.Random) -> Demand:
     """Return the demand of a prompt with one shared part."""
-    parts = ((f"part{rng.randrange(SUBJECTS)}", 9000), (f"own{rng.random()}", 3000))
+    parts = ((f"part{rng.randrange(SHARED_PARTS)}", 9000), (f"own{rng.random()}", 3000))
     return Demand(Prompt(parts, 100), 2.0, 12.0)
 
 
-def time_look(upstreams: list[Upstream], waiting: int, rng: random.Random) -> float:
+def time_evaluation(upstreams: list[Upstream], waiting: int, rng: random.Random) -> float:
     """Return the time of one evaluation of the queue, milliseconds."""
     queue = PromptQueue()
     for _ in range(waiting):
@@ -89,7 +89,9 @@
     for count in (5, 26, 300):
         upstreams = make_upstreams(count, rng)
         row = {"placement_ms": time_placement(upstreams, rng)}
-        row |= {f"look_{waiting}_ms": time_look(upstreams, waiting, rng) for waiting in (20, 200)}
+        row |= {
+            f"look_{waiting}_ms": time_evaluation(upstreams, waiting, rng) for waiting in (20, 200)
+        }
         print(f"{count:4} upstreams", *(f"{key} {value:.3f}" for key, value in row.items()))
         figures[str(count)] = row
     print(json.dumps(figures))
--- a/benchmarks/bench_once.py
+++ b/benchmarks/bench_once.py
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class Told:
+class KeyAnswer:
     """Answer to one call of a key."""
 
     phase: str
@@ -89,7 +89,7 @@
     def __init__(self, cluster: Cluster, rng: random.Random):
         self.cluster = cluster
         self.rng = rng
-        self.told: list[Told] = []
+        self.answers: list[KeyAnswer] = []
         self.faults: Counter[str] = Counter()
         self.idle_reads_per_s = 0.0
 
@@ -123,18 +123,18 @@
         """Send every key, a share of them repeatedly, and count the table calls."""
         before, began = await self._table_counts(), time.monotonic()
         ended = asyncio.Event()
-        maker = asyncio.create_task(faults(ended)) if faults else None
+        fault_task = asyncio.create_task(faults(ended)) if faults else None
         queue = list(range(keys))
-        sent_before = len(self.told)
+        sent_before = len(self.answers)
         async with new_session() as session:
             work = [self._call_keys(session, phase, queue, repeated) for _ in range(callers)]
             await asyncio.gather(*work)
         ended.set()
-        if maker is not None:
-            await maker
-        after, took_s = await self._table_counts(), time.monotonic() - began
-        requests = len(self.told) - sent_before
-        idle_reads = self.idle_reads_per_s * took_s
+        if fault_task is not None:
+            await fault_task
+        after, elapsed_s = await self._table_counts(), time.monotonic() - began
+        requests = len(self.answers) - sent_before
+        idle_reads = self.idle_reads_per_s * elapsed_s
         return TableUse(
             (after["writes"] - before["writes"]) / requests,
             max(0.0, after["reads"] - before["reads"] - idle_reads) / requests,
@@ -201,7 +201,7 @@
             service_path=PATH,
         )
         result = await send(session, call, SEED)
-        self.told.append(Told(phase, key, result))
+        self.answers.append(KeyAnswer(phase, key, result))
         return result
 
     async def _table_counts(self) -> dict[str, int]:
@@ -271,10 +271,10 @@
     )
 
 
-def judge(told: Sequence[Told], effects: Counter[str]) -> dict[str, int]:
+def compare_with_effects(answers: Sequence[KeyAnswer], effects: Counter[str]) -> dict[str, int]:
     """Compare the answers to callers with the effects at the services."""
-    by_key: dict[str, list[Told]] = defaultdict(list)
-    for part in told:
+    by_key: dict[str, list[KeyAnswer]] = defaultdict(list)
+    for part in answers:
         by_key[part.key].append(part)
     false_not_run = false_answer = unknown = unknown_without_fault = 0
     for key, parts in by_key.items():
@@ -283,12 +283,12 @@
         unknown += parts[-1].unknown
         unknown_without_fault += parts[-1].unknown and parts[-1].phase != "faults"
     return {
-        "requests": len(told),
+        "requests": len(answers),
         "keys": len(by_key),
         "duplicates": sum(count - 1 for count in effects.values() if count > 1),
         "false_not_run": false_not_run,
         "false_answer": false_answer,
-        "mixed": sum(part.result.outcome == "mixed" for part in told),
+        "mixed": sum(part.result.outcome == "mixed" for part in answers),
         "unknown": unknown,
         "unknown_without_fault": unknown_without_fault,
     }
@@ -297,7 +297,8 @@
 def report(run: OnceRun, effects: Counter[str], uses: dict[str, TableUse]) -> None:
     """Print the figures."""
     outcomes = Counter(
-        (part.phase, part.result.outcome, part.result.error, part.result.run) for part in run.told
+        (part.phase, part.result.outcome, part.result.error, part.result.run)
+        for part in run.answers
     )
     rows = [(*reason, count) for reason, count in sorted(outcomes.items())]
     print_table("What callers were told", ("phase", "outcome", "reason", "run", "count"), rows)
@@ -309,7 +310,7 @@
     )
     print_result(
         {
-            **judge(run.told, effects),
+            **compare_with_effects(run.answers, effects),
             "table_writes_per_request": uses["quiet"].writes,
             "table_reads_per_request": uses["quiet"].reads,
             "table_writes_per_request_loaded": uses["loaded"].writes,
--- a/benchmarks/bench_overload.py
+++ b/benchmarks/bench_overload.py
@@ -19,7 +19,7 @@
 from _deployments import Deployment, dala, klidne
 from _harness import Cluster
 from _offered import plan_flood, plan_load
-from _open_loop import run_plan_apart
+from _open_loop import run_plan_in_processes
 from _report import print_load_average, print_result, print_table, quantile
 from _summary import attainment, delivered_tokens, failures, goodput_tokens, wrong_answers
 from _variants import attained_share, count_generated
@@ -119,7 +119,7 @@
         """Send the calls and count the tokens that the engines generate meanwhile."""
         before = await count_generated(self.cluster)
         processes = self.cluster.processes
-        results = await run_plan_apart(processes, calls, SEED, CALLER_PROCESSES, name)
+        results = await run_plan_in_processes(processes, calls, SEED, CALLER_PROCESSES, name)
         return Run(results, await count_generated(self.cluster) - before)
 
 
@@ -232,10 +232,10 @@
 def _class_row(
     deployment: Deployment, results: Sequence[CallResult], name: str
 ) -> tuple[int, float, int, float, float]:
-    mine = [result for result in results if result.class_name == name]
-    first = [result.first_token_s for result in mine if result.outcome == "whole"]
-    share = attainment(mine, deployment.classes)[name]
-    return len(mine), share, len(first), quantile(first, 0.5), quantile(first, 0.99)
+    class_results = [result for result in results if result.class_name == name]
+    first = [result.first_token_s for result in class_results if result.outcome == "whole"]
+    share = attainment(class_results, deployment.classes)[name]
+    return len(class_results), share, len(first), quantile(first, 0.5), quantile(first, 0.99)
 
 
 async def main() -> None:
--- a/benchmarks/bench_placement_model.py
+++ b/benchmarks/bench_placement_model.py
@@ -39,7 +39,7 @@
 
 
 @attrs.define
-class Report:
+class LoadReport:
     """Last load report of a slot received by the entries."""
 
     load: int = 0
@@ -54,7 +54,7 @@
         self.lag_s = lag_s
         self.rng = random.Random(seed)
         self.slots = [Slot(f"vm-{n:02}", SLOW_SLOT_FACTOR if n == 0 else 1.0) for n in range(SLOTS)]
-        self.reports = {slot.name: Report() for slot in self.slots}
+        self.reports = {slot.name: LoadReport() for slot in self.slots}
         self.reported_at = 0.0
         self.waits: list[float] = []
         self.ends: list[tuple[float, int, Slot, int]] = []
@@ -87,7 +87,7 @@
             return
         self.reported_at = now
         for slot in self.slots:
-            self.reports[slot.name] = Report(slot.load, list(slot.by_entry))
+            self.reports[slot.name] = LoadReport(slot.load, list(slot.by_entry))
 
     def place(self, entry: int, now: float) -> None:
         """Place a request that arrives at an entry."""
--- a/benchmarks/bench_policy.py
+++ b/benchmarks/bench_policy.py
@@ -43,11 +43,11 @@
 TOKENS_PER_S = 45_000.0
 """Prompt tokens that an engine reads per second while it also writes answers."""
 MEMORY_TOKENS = 285_000
-SUBJECTS = 300
+SHARED_PARTS = 300
 """Number of shared parts of long prompts."""
 SHORT_TARGET_S = 0.25
 LONG_TARGET_S = 0.5
-HOLD_S = 1.2
+MAX_WAIT_S = 1.2
 """Waiting time after which the current policy refuses a request, seconds."""
 
 
@@ -86,7 +86,7 @@
         self.upstream = Upstream(entry)
         self.queue: list[Reading] = []
         self.parts: OrderedDict[str, int] = OrderedDict()
-        self.gone = False
+        self.is_removed = False
 
     def missing(self, prompt: Prompt) -> int:
         """Return the number of tokens of a prompt that are not cached here."""
@@ -129,7 +129,7 @@
 
 
 @attrs.frozen
-class Sent:
+class SentRequest:
     """A request sent by the current policy, and the number of tokens queued ahead of it."""
 
     at: float
@@ -148,12 +148,12 @@
 
     def live(self) -> list[Engine]:
         """Return the engines that are available."""
-        return [engine for engine in self.engines if not engine.gone]
+        return [engine for engine in self.engines if not engine.is_removed]
 
     def arrive(self, request: Request, now: float) -> None:
         """Receive a new request."""
 
-    def look(self, now: float) -> None:
+    def dispatch(self, now: float) -> None:
         """Send the requests that may be sent now."""
 
     def first_token(self, engine: Engine, request: Request, now: float) -> None:
@@ -161,7 +161,7 @@
 
 
 @policies.register("fifo")
-class Fifo(Policy):
+class FewestRequests(Policy):
     """Policy that sends immediately to the engine with the fewest requests."""
 
     def arrive(self, request: Request, now: float) -> None:
@@ -170,7 +170,7 @@
 
 
 @policies.register("homes")
-class Homes(Policy):
+class TwoPreferred(Policy):
     """Policy that sends immediately to one of the two preferred engines of the shared part."""
 
     def arrive(self, request: Request, now: float) -> None:
@@ -178,8 +178,8 @@
         by_upstream = {engine.upstream: engine for engine in self.live()}
         first, second = rank_homes(list(by_upstream), request.prompt.key, 2)
         first, second = by_upstream[first], by_upstream[second]
-        home = second if len(first.queue) >= len(second.queue) + 1.5 else first
-        home.send(request)
+        preferred = second if len(first.queue) >= len(second.queue) + 1.5 else first
+        preferred.send(request)
 
 
 @policies.register("queue")
@@ -192,16 +192,16 @@
         self.waiting = PromptQueue()
         self.targets = ServiceTargets(SHORT_TARGET_S, 0)
         self.scale = UrgencyScale((0, 1))
-        self.sent: dict[int, Sent] = {}
+        self.sent: dict[int, SentRequest] = {}
 
     def arrive(self, request: Request, now: float) -> None:
         """Queue a new request."""
         demand = Demand(request.prompt, request.target_s, 12.0, SHORT_SHARE * SHORT_TARGET_S)
         due = request.at + request.target_s
-        hold = request.at + HOLD_S
-        self.waiting.add(WaitingPrompt(demand, request.urgency, due, hold, (), request))
+        give_up_at = request.at + MAX_WAIT_S
+        self.waiting.add(WaitingPrompt(demand, request.urgency, due, give_up_at, (), request))
 
-    def look(self, now: float) -> None:
+    def dispatch(self, now: float) -> None:
         """Send the requests that may be sent now."""
         by_upstream = {engine.upstream: engine for engine in self.live()}
         upstreams = list(by_upstream)
@@ -210,7 +210,7 @@
             placement = start.placement
             upstream = placement.upstream
             ahead = 0 if placement.is_short else upstream.pending.tokens(now)
-            self.sent[request.id] = Sent(now, ahead, placement)
+            self.sent[request.id] = SentRequest(now, ahead, placement)
             upstream.pending.add(str(request.id), placement.tokens, now)
             upstream.outstanding += 1
             upstream.note_sent(request.prompt)
@@ -250,7 +250,7 @@
         """Queue a new request."""
         self.waiting.append(request)
 
-    def look(self, now: float) -> None:
+    def dispatch(self, now: float) -> None:
         """Send each idle engine the best request: still in time, urgent, and soonest read there."""
         for engine in self.live():
             while not engine.queue and (best := self._best(engine, now)) is not None:
@@ -277,8 +277,8 @@
     long_per_s: Callable[[float], float]
     short_per_s: Callable[[float], float]
     hot_share: float = 0.0
-    gone_at: float | None = None
-    gone: int = 0
+    removal_at: float | None = None
+    removed: int = 0
     one_priority: bool = False
 
 
@@ -290,11 +290,13 @@
     "calm": Pattern(_burst(15, 15), _burst(19, 19)),
     "burst of long prompts": Pattern(_burst(15, 45), _burst(19, 19)),
     "one priority, engines gone": Pattern(
-        _burst(15, 45), _burst(19, 19), gone_at=5.0, gone=2, one_priority=True
+        _burst(15, 45), _burst(19, 19), removal_at=5.0, removed=2, one_priority=True
     ),
     "burst of short prompts": Pattern(_burst(15, 15), _burst(19, 120)),
     "hot shared part": Pattern(_burst(15, 25), _burst(19, 19), hot_share=0.5),
-    "a third of the engines gone": Pattern(_burst(15, 30), _burst(19, 19), gone_at=5.0, gone=2),
+    "a third of the engines gone": Pattern(
+        _burst(15, 30), _burst(19, 19), removal_at=5.0, removed=2
+    ),
 }
 
 
@@ -303,43 +305,43 @@
     requests = []
     now = 0.0
     while now < SECONDS:
-        for rate, make in ((pattern.long_per_s, _long), (pattern.short_per_s, _short)):
+        for rate, make in ((pattern.long_per_s, _make_long), (pattern.short_per_s, _make_short)):
             if rng.random() < rate(now) * STEP_S:
                 requests.append(make(len(requests), now, pattern, rng))
         now += STEP_S
     return requests
 
 
-def _long(number: int, now: float, pattern: Pattern, rng: random.Random) -> Request:
+def _make_long(number: int, now: float, pattern: Pattern, rng: random.Random) -> Request:
     hot = rng.random() < pattern.hot_share
-    subject = 0 if hot else rng.randrange(SUBJECTS)
+    shared_part = 0 if hot else rng.randrange(SHARED_PARTS)
     own = int(rng.lognormvariate(7.5, 0.8))
-    parts = ((f"all{subject % 4}", 2500), (f"s{subject}", 3800), (f"o{number}", own))
+    parts = ((f"all{shared_part % 4}", 2500), (f"s{shared_part}", 3800), (f"o{number}", own))
     return Request(number, now, Prompt(parts, 54), False, 1, LONG_TARGET_S)
 
 
-def _short(number: int, now: float, pattern: Pattern, rng: random.Random) -> Request:
-    subject = rng.randrange(SUBJECTS)
-    parts = ((f"a{subject % 40}", 120), (f"b{subject}", 80), (f"o{number}", 630))
+def _make_short(number: int, now: float, pattern: Pattern, rng: random.Random) -> Request:
+    shared_part = rng.randrange(SHARED_PARTS)
+    parts = ((f"a{shared_part % 40}", 120), (f"b{shared_part}", 80), (f"o{number}", 630))
     urgency = 1 if pattern.one_priority else 0
     return Request(number, now, Prompt(parts, 290), True, urgency, SHORT_TARGET_S)
 
 
-def play(pattern: Pattern, name: str, seed: int) -> dict[str, float]:
+def simulate(pattern: Pattern, name: str, seed: int) -> dict[str, float]:
     """Simulate one policy under one pattern; return the shares of requests in time."""
     requests = make_requests(pattern, random.Random(seed))
     engines = [Engine(number) for number in range(ENGINES)]
     policy = policies.get(name)(engines)
-    coming = deque(requests)
+    arrivals = deque(requests)
     now = 0.0
     while now < SECONDS + 4:
-        if pattern.gone_at is not None and now >= pattern.gone_at:
-            for engine in engines[: pattern.gone]:
-                engine.gone = True
+        if pattern.removal_at is not None and now >= pattern.removal_at:
+            for engine in engines[: pattern.removed]:
+                engine.is_removed = True
                 engine.queue.clear()
-        while coming and coming[0].at <= now:
-            policy.arrive(coming.popleft(), now)
-        policy.look(now)
+        while arrivals and arrivals[0].at <= now:
+            policy.arrive(arrivals.popleft(), now)
+        policy.dispatch(now)
         now += STEP_S
         for engine in policy.live():
             for request in engine.run(now):
@@ -360,7 +362,7 @@
     result: dict[str, dict[str, dict[str, float]]] = {}
     print(f"{'in time, short / long':30}", *(f"{name:>13}" for name in names))
     for label, pattern in PATTERNS.items():
-        rows = {name: play(pattern, name, seed) for name in names}
+        rows = {name: simulate(pattern, name, seed) for name in names}
         result[label] = rows
         cells = (f"{rows[name]['short']:.2f} / {rows[name]['long']:.2f}" for name in names)
         print(f"{label:30}", *(f"{cell:>13}" for cell in cells))
--- a/benchmarks/bench_preemption_model.py
+++ b/benchmarks/bench_preemption_model.py
@@ -16,8 +16,8 @@
 
 PLACES = 4
 SECONDS = 2000.0
-DRAFT_S = 2.0
-HOLD_S = 0.2
+MEAN_DRAFT_S = 2.0
+MEAN_HOLD_S = 0.2
 BURSTS_PER_S = 0.25
 BURST_SIZES = (1, 2, 3, 4)
 CLASSES = {
@@ -26,7 +26,7 @@
     ),
     "draft": ClassRecord("draft", 10, 1.0, 0.1, 1e6, share=0.5),
 }
-WAYS = {
+VARIANTS = {
     "neither": (False, False),
     "keeping places": (True, False),
     "pausing": (False, True),
@@ -45,7 +45,7 @@
         self.number = 0
         self.arrived: dict[str, float] = {}
         self.queue: list[str] = []
-        self.left_s: dict[str, float] = {}
+        self.remaining_s: dict[str, float] = {}
         self.ends_at: dict[str, float] = {}
         self.waits: list[float] = []
         self.done_s = 0.0
@@ -65,7 +65,7 @@
                 self.burst(now)
             elif self.ends_at.get(name) == now:
                 self.end(name, now)
-            self.pump(now)
+            self.run_scheduler(now)
 
     def burst(self, now: float) -> None:
         """Offer a burst of protected requests; those refused are queued at the entry."""
@@ -75,13 +75,13 @@
             self.arrived[name] = now
             if self.slot.offer(self.work(name), 0, now).is_err():
                 self.queue.append(name)
-            self.pump(now)
+            self.run_scheduler(now)
         self.add_event(now + self.rng.expovariate(BURSTS_PER_S), "burst", "")
 
     def end(self, name: str, now: float) -> None:
         """End a request."""
         del self.ends_at[name]
-        self.done_s += self.left_s.pop(name)
+        self.done_s += self.remaining_s.pop(name)
         self.slot.finish(name, 1, now)
 
     @staticmethod
@@ -89,31 +89,31 @@
         """Return the request with a name, which starts with that of its class."""
         return Work(name, 1, "entry", "north", name.split("-")[0], name, 1e9)
 
-    def pump(self, now: float) -> None:
+    def run_scheduler(self, now: float) -> None:
         """Run the scheduler until it allows no further action."""
         demand = [ClassDemand("draft", 9, 1.0), ClassDemand("hold", len(self.queue), 0.0)]
         self.slot.set_demand("entry", demand, now)
-        acted = True
-        while acted:
-            acted = any((self.pause(now), self.start(now), self.resume(now), self.grant(now)))
+        has_acted = True
+        while has_acted:
+            has_acted = any((self.pause(now), self.start(now), self.resume(now), self.grant(now)))
 
     def pause(self, now: float) -> bool:
         """Pause a request, if one is to be preempted."""
         work = self.slot.next_pause(now)
         if work is not None:
             self.pauses += 1
-            left_s = self.ends_at.pop(work.request) - now
-            self.done_s += self.left_s[work.request] - left_s
-            self.left_s[work.request] = left_s
+            remaining_s = self.ends_at.pop(work.request) - now
+            self.done_s += self.remaining_s[work.request] - remaining_s
+            self.remaining_s[work.request] = remaining_s
         return work is not None
 
     def start(self, now: float) -> bool:
         """Start a request with a random length, if one may start."""
         work = self.slot.next_start(now)
         if work is not None:
-            mean_s = HOLD_S if work.class_name == "hold" else DRAFT_S
-            self.left_s[work.request] = self.rng.expovariate(1.0 / mean_s)
-            self.go(work.request, now)
+            mean_s = MEAN_HOLD_S if work.class_name == "hold" else MEAN_DRAFT_S
+            self.remaining_s[work.request] = self.rng.expovariate(1.0 / mean_s)
+            self.schedule_end(work.request, now)
             if work.class_name == "hold":
                 self.waits.append(now - self.arrived.pop(work.request))
         return work is not None
@@ -122,12 +122,12 @@
         """Resume a paused request, if a place is free."""
         work = self.slot.next_resume(now)
         if work is not None:
-            self.go(work.request, now)
+            self.schedule_end(work.request, now)
         return work is not None
 
-    def go(self, name: str, now: float) -> None:
+    def schedule_end(self, name: str, now: float) -> None:
         """Run a request for its remaining time."""
-        self.ends_at[name] = now + self.left_s[name]
+        self.ends_at[name] = now + self.remaining_s[name]
         self.add_event(self.ends_at[name], "end", name)
 
     def grant(self, now: float) -> bool:
@@ -144,7 +144,7 @@
 def main() -> None:
     rows = []
     result = {}
-    for name, (reserve, preemption) in WAYS.items():
+    for name, (reserve, preemption) in VARIANTS.items():
         model = Model(reserve, preemption, seed=11)
         model.run()
         figures = {
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -153,9 +153,9 @@
     """Print attainment by class, refusals by reason and wasted tokens."""
     rows = []
     for name, share in attainment(results, CLASSES).items():
-        mine = [result for result in results if result.class_name == name]
-        first = [result.first_token_s for result in mine if result.outcome == "whole"]
-        rows.append((name, len(mine), len(first), share, quantile(first, 0.99)))
+        class_results = [result for result in results if result.class_name == name]
+        first = [result.first_token_s for result in class_results if result.outcome == "whole"]
+        rows.append((name, len(class_results), len(first), share, quantile(first, 0.99)))
     header = ("class", "sent", "whole", "attainment", "first token p99 s")
     print_table("Attainment of latency targets", header, rows)
     counted = sorted(failures(results).items())
@@ -170,10 +170,12 @@
 
 def count_wrong_effects(results: Sequence[CallResult], effects: Mapping[str, int]) -> int:
     """Return how many holds had an effect that differs from what their caller was told."""
-    return sum(not _agrees(result, effects.get(result.key, 0)) for result in results if result.key)
+    return sum(
+        not _matches_answer(result, effects.get(result.key, 0)) for result in results if result.key
+    )
 
 
-def _agrees(result: CallResult, count: int) -> bool:
+def _matches_answer(result: CallResult, count: int) -> bool:
     if result.outcome == "whole":
         return count == 1
     return count == 0 if result.run == "not_run" else count <= 1
--- a/tests/test_policy_bench.py
+++ b/tests/test_policy_bench.py
@@ -32,8 +32,8 @@
     seconds before the first word.
     """
     pattern = bench.PATTERNS[label]
-    at_once = bench.play(pattern, "homes", seed=1)
-    present = bench.play(pattern, "queue", seed=1)
+    at_once = bench.simulate(pattern, "homes", seed=1)
+    present = bench.simulate(pattern, "queue", seed=1)
     assert at_once["short"] < 0.95
     assert present["short"] > 0.98
     assert present["long"] >= at_once["long"]
@@ -42,8 +42,8 @@
 @pytest.mark.parametrize("label", bench.PATTERNS)
 def test_present_policy_is_close_to_one_queue_that_knows_everything(label):
     pattern = bench.PATTERNS[label]
-    present = bench.play(pattern, "queue", seed=2)
-    ideal = bench.play(pattern, "ideal", seed=2)
+    present = bench.simulate(pattern, "queue", seed=2)
+    ideal = bench.simulate(pattern, "ideal", seed=2)
     gap = GAPS.get(label, 0.05)
     assert present["short"] > ideal["short"] - gap
     assert present["long"] > ideal["long"] - gap
