--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Every target sets up the virtual environment first, from the pinned versions in constraints.txt.
+# Targets set up the virtual environment first, with the versions pinned in constraints.txt.
 PYTHON ?= python3
 BIN := .venv/bin
 READY := .venv/.ready
--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of the whole test run: hypothesis gives the same verdict every time."""
+"""Settings of the test run: hypothesis is deterministic, so that results are reproducible."""
 
 import os
 
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs the libraries and the project's packages under target/deps and bundles what a forwarder
-# loads at its start; nothing else is written.
+# Installs the libraries and the project's packages in target/deps and bundles the modules that a
+# forwarder loads at start. Writes nothing else.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ready=target/deps/.ready
--- a/deploy/make_bundle.py
+++ b/deploy/make_bundle.py
@@ -1,4 +1,4 @@
-"""Writes the bundle of the modules that a forwarder loads when it starts."""
+"""Write the bundle of the modules that a forwarder loads at start."""
 
 import importlib
 import sys
@@ -11,7 +11,7 @@
     "burdockquay_transport.forwarding._peers",
     "burdockquay_platform",
 )
-"""The modules that load all others."""
+"""Modules whose import loads all others."""
 
 for module in START:
     importlib.import_module(module)
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,7 +1,7 @@
-"""A burst of holds and eulogy drafts through two entries and five slots; run by ``make demo``.
+"""Send a burst of holds and eulogy drafts through two entries and five slots (``make demo``).
 
-Everything runs on free ports of the loopback. Exit status 0 means that every answer was the
-caller's own, that each hold took effect at most once and that every class was served.
+All processes listen on free loopback ports. Exit status 0 means that every answer was the expected
+one, that each hold took effect at most once and that every class was served.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
 
 
 async def start(cluster: Cluster) -> None:
-    """Start the deployment and wait until it is ready."""
+    """Start all processes and wait until they are ready."""
     await cluster.start_platform()
     organisations = [organisation_record(name) for name in ORGANISATIONS]
     routes = [SERVICE_ROUTE, *(class_route(name, "drafting") for name in CLASSES)]
@@ -95,7 +95,7 @@
 
 
 def plan_calls(urls: Sequence[str], burst_s: float, rng: random.Random) -> list[PlannedCall]:
-    """Return the calls of a burst of ``burst_s`` seconds, evenly drawn over its length."""
+    """Return the calls of a burst of ``burst_s`` seconds, at uniformly distributed times."""
     calls = []
     for class_name, rate in (("hold", HOLDS_PER_S), ("eulogy", EULOGIES_PER_S)):
         for number in range(round(rate * burst_s)):
@@ -131,7 +131,7 @@
 
 
 async def run_burst(calls: Sequence[PlannedCall]) -> list[CallResult]:
-    """Send the calls, and print a line of progress every second."""
+    """Send the calls and print progress every second."""
     results: list[CallResult] = []
     start_at = time.monotonic()
 
@@ -150,7 +150,7 @@
 
 
 def print_results(results: Sequence[CallResult], generated: int) -> None:
-    """Print attainment by class, refusals by reason and wasted tokens."""
+    """Print the attainment by class, the refusals by reason and the wasted tokens."""
     rows = []
     for name, share in attainment(results, CLASSES).items():
         class_results = [result for result in results if result.class_name == name]
@@ -169,7 +169,7 @@
 
 
 def count_wrong_effects(results: Sequence[CallResult], effects: Mapping[str, int]) -> int:
-    """Return how many holds had an effect that differs from what their caller was told."""
+    """Count the holds whose effects do not match the answer to their caller."""
     return sum(
         not _matches_answer(result, effects.get(result.key, 0)) for result in results if result.key
     )
@@ -182,7 +182,7 @@
 
 
 def count_faulty(results: Sequence[CallResult]) -> int:
-    """Return how many requests met an internal error, plus the classes that got no whole answer."""
+    """Return the number of internal errors plus that of classes without a complete answer."""
     internal = sum(result.error == "internal" for result in results)
     served = {result.class_name for result in results if result.outcome == "whole"}
     return internal + len(set(CLASSES) - served)
@@ -212,12 +212,12 @@
 
 @app.default
 def main(*, seconds: float = BURST_S) -> int:
-    """Send a burst of holds and eulogy drafts through a deployment on the loopback.
+    """Send a burst of holds and eulogy drafts through a deployment on loopback.
 
     Parameters
     ----------
     seconds : float
-        Length of the burst.
+        Length of the burst, seconds.
     """
     return uvloop.run(run(seconds))
 
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -1,11 +1,11 @@
-"""Measures what each mechanism of the forwarder is worth, with a bench that plays days.
+"""Measure the contribution of each mechanism of the forwarder to the score of simulated days.
 
-``python scripts/ablate.py --bench PROGRAM --copy FOLDER --site FILE --day NAME`` plays each day
-with every mechanism, and once with each one turned off, in a clone of the repository. It prints a
-table of the worth lost without each mechanism, and a JSON object as its last line.
+``python scripts/ablate.py --bench PROGRAM --copy FOLDER --site FILE --day NAME`` runs each day with
+every mechanism enabled, and once with each one disabled, in clones of the repository. It prints a
+table of the score lost without each mechanism, and a JSON object as its last line.
 
-The bench is any program that plays ``run SITE DAY --seed N --no-cpu`` in a repository and leaves a
-JSON file there in ``journal/``, whose ``days`` hold the worth of each as ``G``.
+The bench is any program that executes ``run SITE DAY --seed N --no-cpu`` in a repository and writes
+a JSON file to ``journal/`` there, whose ``days`` contain the score of each day as ``G``.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 TEMPLATE = Path("deploy/forwarder.jsonc")
 
 ALL = "all"
-"""Name of the row in which every mechanism is on."""
+"""Name of the row in which every mechanism is enabled."""
 
 
 @attrs.frozen
-class Play:
-    """One day to be played.
+class DayRun:
+    """One run of a day.
 
     Parameters
     ----------
     off : str
-        The mechanism that is off, ``ALL`` for none.
+        The disabled mechanism, ``ALL`` for none.
     site : str
         Path of the site file.
     day : str
     seed : int or None
-        None for the day's own.
+        None for the seed of the day.
     """
 
     off: str
@@ -51,30 +51,31 @@
 
 @attrs.frozen
 class Outcome:
-    """What a day was worth.
+    """Result of one run.
 
     Parameters
     ----------
     play : Play
     worth : float
+        Score of the day.
     served : float
-        Share of the requests.
+        Share of the requests that were served.
     rules : tuple of str
-        Rules that were broken.
+        Violated rules.
     """
 
-    play: Play
+    play: DayRun
     worth: float
     served: float
     rules: tuple[str, ...]
 
 
-def turn_off(template: str, mechanism: str) -> str:
-    """Return the text of a settings template with a mechanism turned off.
+def disable_mechanism(template: str, mechanism: str) -> str:
+    """Return the text of a settings template with a mechanism disabled.
 
     Examples
     --------
-    >>> print(turn_off('{\\n  "log_level": "INFO",\\n}', "fetches"))
+    >>> print(disable_mechanism('{\\n  "log_level": "INFO",\\n}', "fetches"))
     {
       "mechanisms_off": ["fetches"],
       "log_level": "INFO",
@@ -83,49 +84,57 @@
     line = f'  "mechanisms_off": ["{mechanism}"],\n  "log_level"'
     changed, count = re.subn(r'  "log_level"', line, template, count=1)
     if not count:
-        raise ValueError("the template has no line for the log level")
+        raise ValueError("the settings template has no line with log_level")
     return changed
 
 
-def clone(off: str, folder: Path) -> Path:
-    """Return a clone of the repository in which a mechanism is off."""
+def clone_repository(off: str, folder: Path) -> Path:
+    """Return a clone of the repository with a mechanism disabled."""
     copy = folder / off
     if not copy.exists():
         subprocess.run(["git", "clone", "-q", ".", str(copy)], check=True)
     template = copy / TEMPLATE
     source = TEMPLATE.read_text()
-    template.write_text(source if off == ALL else turn_off(source, off))
+    template.write_text(source if off == ALL else disable_mechanism(source, off))
     return copy
 
 
-def play_day(bench: Path, copy: Path, play: Play) -> Outcome:
-    """Play one day and return what it was worth."""
+def run_day(bench: Path, copy: Path, play: DayRun) -> Outcome:
+    """Run one day and return its result."""
     before = set((copy / "journal").glob("*.json"))
-    words = [str(bench), "run", play.site, play.day, "--no-cpu", "--why", f"trial: {play.off} off"]
+    command = [
+        str(bench),
+        "run",
+        play.site,
+        play.day,
+        "--no-cpu",
+        "--why",
+        f"trial: {play.off} off",
+    ]
     if play.seed is not None:
-        words += ["--seed", str(play.seed)]
-    subprocess.run(words, cwd=copy, check=True, capture_output=True)
+        command += ["--seed", str(play.seed)]
+    subprocess.run(command, cwd=copy, check=True, capture_output=True)
     (entry,) = set((copy / "journal").glob("*.json")) - before
     day = json.loads(entry.read_text())["days"][0]
     return Outcome(play, day["G"], day["served"], tuple(day["rules"]))
 
 
-def play_row(bench: Path, folder: Path, off: str, plays: list[Play]) -> list[Outcome]:
-    """Play all days with one mechanism off."""
-    copy = clone(off, folder)
-    return [play_day(bench, copy, play) for play in plays]
+def run_row(bench: Path, folder: Path, off: str, runs: list[DayRun]) -> list[Outcome]:
+    """Run all days with one mechanism disabled."""
+    copy = clone_repository(off, folder)
+    return [run_day(bench, copy, play) for play in runs]
 
 
-def list_plays(options: argparse.Namespace, off: str) -> Iterator[Play]:
-    """Return the days of one row."""
+def list_runs(options: argparse.Namespace, off: str) -> Iterator[DayRun]:
+    """Yield the runs of one row."""
     for site in options.site:
         for day in options.day:
             for seed in options.seed or [None]:
-                yield Play(off, str(Path(site).resolve()), day, seed)
+                yield DayRun(off, str(Path(site).resolve()), day, seed)
 
 
 def print_table(rows: dict[str, list[Outcome]]) -> None:
-    """Print worth and share served of each row, as differences from the first one."""
+    """Print score, share served and score lost against the first row, for each row."""
     base = rows[ALL]
     for off, outcomes in rows.items():
         worth = sum(item.worth for item in outcomes) / len(outcomes)
@@ -137,7 +146,7 @@
 
 
 def main() -> None:
-    """Play the table."""
+    """Run all rows and print the table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--bench", type=Path, required=True)
     parser.add_argument("--copy", type=Path, required=True, help="folder for the clones")
@@ -151,7 +160,7 @@
     names = [ALL, *(options.off or map(str, Mechanism))]
     with ThreadPoolExecutor(options.jobs) as pool:
         futures = {
-            off: pool.submit(play_row, bench, options.copy, off, list(list_plays(options, off)))
+            off: pool.submit(run_row, bench, options.copy, off, list(list_runs(options, off)))
             for off in names
         }
         rows = {off: future.result() for off, future in futures.items()}
--- a/scripts/capacity_model.py
+++ b/scripts/capacity_model.py
@@ -1,4 +1,4 @@
-"""The planned size, and what each role costs there by the measured lines."""
+"""Model of the costs of each role at the planned size, from the measured lines."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 DAY_S = 86400.0
 
 
-def show(value: float) -> str:
-    """Return a figure with three digits, or in whole units from a thousand."""
+def format_value(value: float) -> str:
+    """Return a figure with three significant digits, or as a whole number from a thousand."""
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:.3g}"
 
 
 @attrs.frozen
 class Plan:
-    """The planned size, and what follows from it.
+    """The planned size and quantities derived from it.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
     classes, organisations, models, domains : int
     changes_a_day : int
     vm_changes_a_day : int
-        Failures, restarts and replacements.
+        Failures, restarts and replacements of VMs per day.
     """
 
     entries: int = 1900
@@ -49,27 +49,28 @@
 
     @property
     def entry_peers(self) -> int:
-        """Connections of an entry: a subset for each model."""
+        """Connections of an entry: one subset of slots for each model."""
         return self.models * self.subset
 
     @property
     def slot_peers(self) -> float:
-        """Connections of a slot, on the mean."""
+        """Mean number of connections of a slot."""
         return self.entries * self.entry_peers / self.slots
 
     @property
     def vms(self) -> int:
-        """Lines of the VM list."""
+        """Entries of the VM list."""
         return self.entries + self.slots
 
     @property
     def records(self) -> int:
-        """Records: organisations, classes, and a group, a route a class and an order a model."""
+        """Number of records: organisations, classes and, for each model, a group, an order and one
+        route per class."""
         return self.organisations + self.classes + self.models * (2 + self.classes)
 
     @property
     def changes_per_s(self) -> float:
-        """Changes of configuration a second, on the mean of a day."""
+        """Configuration changes per second, averaged over a day."""
         return self.changes_a_day / DAY_S
 
 
@@ -78,19 +79,19 @@
 
 @attrs.frozen
 class Part:
-    """One part of a cost at the planned size.
+    """One component of a cost at the planned size.
 
     Parameters
     ----------
     name, mechanism : str
     formula : str
     slope : float
-        Cost of one unit.
+        Cost per unit.
     units : float
     reach : str
         Largest number of units measured; empty if the cost is not a measured slope.
     residual : float
-        Of the line, in the unit of the cost.
+        Residual of the fitted line, in the unit of the cost.
     """
 
     name: str
@@ -108,12 +109,12 @@
 
 
 class Costs:
-    """The costs of both roles at the planned size.
+    """Costs of both roles at the planned size.
 
     Parameters
     ----------
     results : dict
-        Content of the measurement file.
+        Content of ``benchmarks/results/control.json``.
     plan : Plan
     """
 
@@ -122,7 +123,7 @@
         self.plan = plan
 
     def line(self, role: str, stage: str, cost: str) -> dict[str, float]:
-        """Return a fitted line; ``bytes_per_s`` and ``messages_per_s`` add both directions."""
+        """Return a fitted line; ``bytes_per_s`` and ``messages_per_s`` sum both directions."""
         fitted = self.results["lines"][f"{role}.{stage}"]
         both = {
             "bytes_per_s": ("read_bytes_per_s", "written_bytes_per_s"),
@@ -135,19 +136,19 @@
         return first | added
 
     def peers(self, role: str) -> float:
-        """Return the connections of a process of a role."""
+        """Return the number of connections of a process of a role."""
         return {"entry": float(self.plan.entry_peers), "slot": self.plan.slot_peers}[role]
 
     def measured_peers(self, role: str) -> float:
-        """Return the connections with which changes were measured."""
+        """Return the number of connections with which changes were measured."""
         return self.line(role, "peers", "cpu_share")["high"]
 
     def memory(self, role: str) -> list[Part]:
-        """Return the parts of a process's memory, MB."""
+        """Return the components of a process's memory, MB."""
         parts = [
-            self._base(role, "rss_mb"),
-            self._per("peers", role, "rss_mb", self.peers(role), "connection", "`_peer`"),
-            self._per(
+            self._base_part(role, "rss_mb"),
+            self._slope_part("peers", role, "rss_mb", self.peers(role), "connection", "`_peer`"),
+            self._slope_part(
                 "organisations",
                 role,
                 "rss_mb",
@@ -158,41 +159,45 @@
         ]
         if role == "entry":
             where = "`_platform_http`, `_membership`: every entry holds the whole list"
-            parts.append(self._per("vms", role, "rss_mb", self.plan.vms, "VM", where))
+            parts.append(self._slope_part("vms", role, "rss_mb", self.plan.vms, "VM", where))
         return parts
 
     def processor(self, role: str) -> list[Part]:
-        """Return the parts of a process's processor time for control, cores."""
+        """Return the components of a process's processor time for control, cores."""
         where = "`_peer`: heartbeats on idle connections only"
         return [
-            self._base(role, "cpu_share"),
-            self._per("peers", role, "cpu_share", self.peers(role), "connection", where),
-            self._per_change(role, "cpu_share"),
+            self._base_part(role, "cpu_share"),
+            self._slope_part("peers", role, "cpu_share", self.peers(role), "connection", where),
+            self._change_part(role, "cpu_share"),
         ]
 
     def traffic(self, role: str) -> list[Part]:
-        """Return the parts of a process's control traffic, bytes a second in both directions."""
+        """Return the components of a process's control traffic in both directions, bytes/s."""
         where = "`_peer`: heartbeats on idle connections only"
         parts = [
-            self._polls(role),
-            self._per("peers", role, "peer_bytes_per_s", self.peers(role), "connection", where),
-            self._per_change(role, "peer_bytes_per_s"),
-            self._status(role),
+            self._polls_part(role),
+            self._slope_part(
+                "peers", role, "peer_bytes_per_s", self.peers(role), "connection", where
+            ),
+            self._change_part(role, "peer_bytes_per_s"),
+            self._status_part(role),
         ]
         if role == "entry":
-            parts.append(self._vm_list())
+            parts.append(self._vm_list_part())
         return parts
 
     def messages(self, role: str) -> list[Part]:
-        """Return the parts of a process's control messages a second, both directions."""
+        """Return the components of a process's control messages per second in both directions."""
         where = "`_peer`: heartbeats on idle connections only"
         return [
-            self._per("peers", role, "messages_per_s", self.peers(role), "connection", where),
-            self._per_change(role, "messages_per_s"),
+            self._slope_part(
+                "peers", role, "messages_per_s", self.peers(role), "connection", where
+            ),
+            self._change_part(role, "messages_per_s"),
         ]
 
     def data(self, role: str) -> list[Part]:
-        """Return the processor time of the requests themselves, cores."""
+        """Return the components of the processor time for requests, cores."""
         processes = {"entry": self.plan.entries, "slot": self.plan.slots}[role]
         tokens = self.line(role, "tokens", "cpu_share")["slope"]
         answer = self.results["short_answer_tokens"]
@@ -205,7 +210,7 @@
                 f"requests / {processes}",
                 requests,
                 share,
-                *self._reach(role, "requests", "cpu_share"),
+                *self._measured_range(role, "requests", "cpu_share"),
             ),
             Part(
                 "tokens",
@@ -213,37 +218,37 @@
                 f"tokens / {processes}",
                 tokens,
                 self.plan.tokens_per_s / processes,
-                *self._reach(role, "tokens", "cpu_share"),
+                *self._measured_range(role, "tokens", "cpu_share"),
             ),
         ]
 
-    def _base(self, role: str, cost: str) -> Part:
+    def _base_part(self, role: str, cost: str) -> Part:
         intercept = self.line(role, "peers", cost)["intercept"]
         mechanism = "interpreter and libraries" if cost == "rss_mb" else "polls of the platform"
         return Part("process alone", mechanism, "", intercept, 1.0)
 
-    def _polls(self, role: str) -> Part:
-        chosen = [
+    def _polls_part(self, role: str) -> Part:
+        samples = [
             sample
             for sample in self.results["samples"]
             if (sample["role"], sample["stage"]) == (role, "peers")
         ]
-        socket = sum(s["read_bytes_per_s"] + s["written_bytes_per_s"] for s in chosen)
-        peers = sum(s["peer_bytes_per_s"] for s in chosen)
-        mean = (socket - peers) / len(chosen)
+        socket = sum(s["read_bytes_per_s"] + s["written_bytes_per_s"] for s in samples)
+        peers = sum(s["peer_bytes_per_s"] for s in samples)
+        mean = (socket - peers) / len(samples)
         return Part("polls", "`_config_sync`, `_platform_http`, probes", "", mean, 1.0)
 
-    def _per(
+    def _slope_part(
         self, stage: str, role: str, cost: str, units: float, unit: str, mechanism: str
     ) -> Part:
         slope = self.line(role, stage, cost)["slope"]
-        reach = self._reach(role, stage, cost)
+        reach = self._measured_range(role, stage, cost)
         return Part(f"per {unit}", mechanism, f"{unit}s", slope, units, *reach)
 
-    def _per_change(self, role: str, cost: str) -> Part:
+    def _change_part(self, role: str, cost: str) -> Part:
         measured = self.measured_peers(role)
         slope = self.line(role, "changes", cost)["slope"] / measured
-        reach, residual = self._reach(role, "changes", cost)
+        reach, residual = self._measured_range(role, "changes", cost)
         return Part(
             "per change and connection",
             "`_config_sync`: revision on heartbeats, log from one peer",
@@ -254,7 +259,7 @@
             residual,
         )
 
-    def _status(self, role: str) -> Part:
+    def _status_part(self, role: str) -> Part:
         sent = STATUS_BYTES_PER_S
         received = sent * self.plan.entry_peers / self.plan.slot_peers
         return Part(
@@ -265,7 +270,7 @@
             1.0,
         )
 
-    def _vm_list(self) -> Part:
+    def _vm_list_part(self) -> Part:
         return Part(
             "VM list",
             "`_platform_http`: the whole list after each change, else status 304",
@@ -274,6 +279,6 @@
             self.plan.vms * self.plan.vm_changes_a_day / DAY_S,
         )
 
-    def _reach(self, role: str, stage: str, cost: str) -> tuple[str, float]:
+    def _measured_range(self, role: str, stage: str, cost: str) -> tuple[str, float]:
         line = self.line(role, stage, cost)
-        return show(line["high"]), line["residual"]
+        return format_value(line["high"]), line["residual"]
--- a/scripts/make_capacity.py
+++ b/scripts/make_capacity.py
@@ -1,7 +1,7 @@
-"""Write the tables of ``docs/CAPACITY.md`` from the file that ``make bench NAME=control`` wrote.
+"""Write the tables of ``docs/CAPACITY.md`` from the results of ``make bench NAME=control``.
 
-``python scripts/make_capacity.py`` replaces what stands between ``<!-- table: NAME -->`` and
-``<!-- end -->``; a test holds that the committed page is what it would write.
+``python scripts/make_capacity.py`` replaces the text between ``<!-- table: NAME -->`` and
+``<!-- end -->``. A test checks that the committed page equals the generated one.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from typing import Any
 
 import attrs
-from capacity_model import Costs, Part, show
+from capacity_model import Costs, Part, format_value
 
 from burdockquay_transport import EntrySettings
 
@@ -27,32 +27,32 @@
 BYTES_LIMIT = 3000.0
 TABLE_READS = 2000.0
 TABLE_WRITES = 300.0
-"""Several hundred, taken as three hundred."""
+"""Writes per second of the table: several hundred, taken as three hundred."""
 PAGE_ROWS = 1000
-"""Rows that one read of a scan returns."""
+"""Rows returned by one read of a scan."""
 CLAIM_WRITES = 2
-"""Writes of one request that runs at most once: before it starts, and its outcome."""
+"""Table writes per at-most-once request: one before it starts, and one for its outcome."""
 
 
 @attrs.frozen
 class Figure:
-    """How figures of one cost are shown.
+    """Unit and limit of the figures of one cost.
 
     Parameters
     ----------
     unit : str
     scale : float
     limit : float
-        In the unit of the measurement; infinite for none.
+        Limit in the unit of the measurement; infinite for none.
     """
 
     unit: str
     scale: float = 1.0
     limit: float = math.inf
 
-    def show(self, value: float) -> str:
-        """Return a value in the unit."""
-        return show(value * self.scale)
+    def format_value(self, value: float) -> str:
+        """Return a value formatted in the unit."""
+        return format_value(value * self.scale)
 
 
 MEMORY = Figure("MB", 1.0, MEMORY_LIMIT_MB)
@@ -63,39 +63,39 @@
 
 
 def make_cost_table(parts: Sequence[Part], figure: Figure) -> list[str]:
-    """Return a table of parts with their sum and the bound."""
+    """Return a table of cost components with their sum and the limit."""
     header = ("part", "carried by", "units", "slope", "measured to", f"at size, {figure.unit}")
     rows = [
         (
             part.name,
             part.mechanism,
-            part.formula if part.units == 1.0 else f"{part.formula} = {show(part.units)}",
-            figure.show(part.slope),
-            part.reach and f"{part.reach}, ± {figure.show(part.residual)}",
-            figure.show(part.total),
+            part.formula if part.units == 1.0 else f"{part.formula} = {format_value(part.units)}",
+            figure.format_value(part.slope),
+            part.reach and f"{part.reach}, ± {figure.format_value(part.residual)}",
+            figure.format_value(part.total),
         )
         for part in parts
     ]
     total = sum(part.total for part in parts)
-    rows.append(("**sum**", "", "", "", "", _judge(total, figure)))
+    rows.append(("**sum**", "", "", "", "", _format_with_limit(total, figure)))
     return make_table(header, rows)
 
 
-def _judge(total: float, figure: Figure) -> str:
+def _format_with_limit(total: float, figure: Figure) -> str:
     if math.isinf(figure.limit):
-        return figure.show(total)
+        return figure.format_value(total)
     relation = "meets" if total <= figure.limit else "**breaks**"
-    return f"{figure.show(total)}, {relation} {figure.show(figure.limit)}"
+    return f"{figure.format_value(total)}, {relation} {figure.format_value(figure.limit)}"
 
 
 def make_table(header: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
-    """Return the lines of a table."""
+    """Return the lines of a Markdown table."""
     lines = [header, ["---"] * len(header), *rows]
     return ["| " + " | ".join(line) + " |" for line in lines]
 
 
 def make_plan_table(costs: Costs) -> list[str]:
-    """Return what follows from the planned size."""
+    """Return the table of quantities derived from the planned size."""
     plan = costs.plan
     settings = EntrySettings.__attrs_attrs__
     budget = next(field.default for field in settings if field.name == "table_read_budget")
@@ -104,20 +104,20 @@
         (
             "connections of a slot",
             "entries × connections of an entry / slots",
-            show(plan.slot_peers),
+            format_value(plan.slot_peers),
         ),
-        ("records", "organisations + classes + 6 a model", show(plan.records)),
-        ("changes a second", "25,000 / 86,400", show(plan.changes_per_s)),
-        ("requests a second and entry", "64,000 / 1,900", show(64_000 / plan.entries)),
-        ("tokens a second and entry", "23 million / 1,900", show(23e6 / plan.entries)),
-        ("tokens a second and slot", "23 million / 5,700", show(23e6 / plan.slots)),
+        ("records", "organisations + classes + 6 a model", format_value(plan.records)),
+        ("changes a second", "25,000 / 86,400", format_value(plan.changes_per_s)),
+        ("requests a second and entry", "64,000 / 1,900", format_value(64_000 / plan.entries)),
+        ("tokens a second and entry", "23 million / 1,900", format_value(23e6 / plan.entries)),
+        ("tokens a second and slot", "23 million / 5,700", format_value(23e6 / plan.slots)),
         ("reads of the head a second, budget", "`table_read_budget`", f"{budget:.0f}"),
     ]
     return make_table(("figure", "from", "value"), rows)
 
 
 def make_platform_table(costs: Costs) -> list[str]:
-    """Return the calls of the table at the planned size."""
+    """Return the table of the table-service calls at the planned size."""
     plan = costs.plan
     fields = {field.name: field.default for field in EntrySettings.__attrs_attrs__}
     interval_s, budget = fields["poll_interval_s"], fields["table_read_budget"]
@@ -144,12 +144,17 @@
             "changes/s × (1 + records / 1,000)",
             f"{operator_reads:.3g}/s",
         ),
-        ("**all reads**", "", _compare(entry_reads + slot_reads + operator_reads, TABLE_READS)),
+        (
+            "**all reads**",
+            "",
+            _format_rate_with_limit(entry_reads + slot_reads + operator_reads, TABLE_READS),
+        ),
         ("writes by operators' changes", "changes/s × 1", f"{plan.changes_per_s:.3g}/s"),
         (
             "a failure domain starts at once",
             "VMs / domains × (1 + records / 1,000)",
-            f"{show(restart_reads)} reads, {show(restart_reads / TABLE_READS)} s of the table",
+            f"{format_value(restart_reads)} reads, "
+            f"{format_value(restart_reads / TABLE_READS)} s of the table",
         ),
         (
             "requests that run at most once",
@@ -160,13 +165,13 @@
     return make_table(("what", "formula", "at size"), rows)
 
 
-def _compare(rate: float, limit: float) -> str:
+def _format_rate_with_limit(rate: float, limit: float) -> str:
     relation = "meets" if rate <= limit else "**breaks**"
     return f"{rate:.3g}/s, {relation} {limit:.0f}/s"
 
 
 def make_calls_table(costs: Costs) -> list[str]:
-    """Return the counted calls of the table."""
+    """Return the table of counted table-service calls."""
     header = ("records", "reads of a change", "writes of a change", "reads of a start", "of a poll")
     names = ("records", "change_reads", "change_writes", "start_reads", "poll_reads")
     rows = [[str(row[name]) for name in names] for row in costs.results["table_calls"]]
@@ -174,7 +179,7 @@
 
 
 def make_changes_table(costs: Costs) -> list[str]:
-    """Return the processor time of one change with few and with many records in force."""
+    """Return the table of the processor time per change, with few and with many records."""
     rows = []
     for role in ("entry", "slot"):
         few = costs.line(role, "changes", "cpu_share")["slope"]
@@ -186,7 +191,7 @@
 
 
 def make_imports_table(costs: Costs) -> list[str]:
-    """Return what every import costs in memory."""
+    """Return the table of the memory that each import adds."""
     by_role: dict[str, dict[str, float]] = {}
     for row in costs.results["imports"]:
         name = "the role itself" if row["module"].endswith(row["role"]) else row["module"]
@@ -203,7 +208,7 @@
 
 
 def make_machine_table(costs: Costs) -> list[str]:
-    """Return the machine of the measurement."""
+    """Return the table that describes the measurement machine."""
     rows = [(name, str(value)) for name, value in costs.results["machine"].items()]
     return make_table(("machine", ""), rows)
 
@@ -231,7 +236,7 @@
 
 
 def fill_page(page: str, results: dict[str, Any]) -> str:
-    """Return the page with all its tables made anew."""
+    """Return the page with all its tables regenerated."""
     costs = Costs(results)
 
     def fill(match: re.Match) -> str:
@@ -243,7 +248,7 @@
 
 
 def main() -> None:
-    """Write the page."""
+    """Write ``docs/CAPACITY.md``."""
     PAGE.write_text(fill_page(PAGE.read_text(), json.loads(RESULTS.read_text())))
 
 
--- a/scripts/make_reference.py
+++ b/scripts/make_reference.py
@@ -1,7 +1,7 @@
-"""Write the reference pages that follow from tables in the code.
+"""Generate the reference pages from tables in the code.
 
-``python scripts/make_reference.py`` writes ``docs/events.md`` and ``docs/errors.md``; a test holds
-that the committed pages are what it would write.
+``python scripts/make_reference.py`` writes ``docs/events.md`` and ``docs/errors.md``. A test checks
+that the committed pages equal the generated ones.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     18: "Orders to engines",
     19: "Forwarding",
 }
-"""Heading of each hundred of event numbers."""
+"""Page heading by the hundreds of the event number."""
 
 CAUSES: dict[ErrorKind, str] = {
     ErrorKind.BAD_REQUEST: "Mend the request; the detail names the part, expected and got.",
@@ -63,7 +63,7 @@
     "through again a minute after the last time.",
     ErrorKind.INTERNAL: "A fault in burdockquay; look for E1007 in the log.",
 }
-"""What is behind each kind, and what to do."""
+"""Cause of each error kind, and what to do about it."""
 
 
 def make_events_page() -> str:
@@ -132,11 +132,11 @@
 
 
 PAGES = {"events.md": make_events_page, "errors.md": make_errors_page}
-"""The function that makes each page."""
+"""Function that generates each page, by file name."""
 
 
 def main() -> None:
-    """Write all pages."""
+    """Write all reference pages."""
     for name, make in PAGES.items():
         (DOCS / name).write_text(make())
 
