--- a/tests/test_benchmark_callers.py
+++ b/tests/test_benchmark_callers.py
@@ -1,7 +1,7 @@
-"""The callers of the benchmarks tell a whole answer from every kind of wrong one.
+"""Tests that the benchmark callers distinguish a complete answer from every kind of wrong one.
 
-A judge that took a cut or foreign answer for whole would let each benchmark and the demo report
-that all is well.
+If a truncated or foreign answer were classified as complete, every benchmark and the demo would
+report success despite faults.
 """
 
 import sys
@@ -50,7 +50,7 @@
 
 
 class FixedAnswer(StandinServer):
-    """Answers every request with the same status and content."""
+    """Server that answers every request with the same status and content."""
 
     def __init__(self, status, content):
         super().__init__()
@@ -64,7 +64,7 @@
         return web.Response(status=self.status, body=self.content)
 
 
-async def ask(callers, server, path="/v1/chat/completions", **fields):
+async def send_call(callers, server, path="/v1/chat/completions", **fields):
     call = callers.PlannedCall(0.0, server.url + path, "families", "eulogy", "key", BODY, **fields)
     (result,) = await callers.run_plan([call], SEED)
     return result
@@ -110,29 +110,29 @@
         (503, b"<html>", "refused", ""),
     ],
 )
-async def test_each_wrong_answer_is_told_apart(callers, status, content, outcome, error):
+async def test_each_wrong_answer_is_distinguished(callers, status, content, outcome, error):
     async with FixedAnswer(status, content) as server:
-        result = await ask(callers, server)
+        result = await send_call(callers, server)
     assert (result.outcome, result.error) == (outcome, error)
 
 
 async def test_answer_of_another_seed_is_mixed(callers):
     async with EngineStandin(EngineParameters(seed=SEED + 1, base_step_s=0.001)) as server:
-        assert (await ask(callers, server)).outcome == "mixed"
+        assert (await send_call(callers, server)).outcome == "mixed"
 
 
-async def test_crash_is_broken_and_impatience_is_left(callers):
+async def test_crash_is_broken_and_caller_timeout_is_left(callers):
     async with EngineStandin(EngineParameters(seed=SEED, base_step_s=0.02)) as server:
         server.faults.switch({"crash_after_tokens": 3}, 0.0)
-        assert (await ask(callers, server)).outcome == "broken"
+        assert (await send_call(callers, server)).outcome == "broken"
     async with EngineStandin(EngineParameters(seed=SEED, base_step_s=10.0)) as server:
-        assert (await ask(callers, server, patience_s=0.05)).outcome == "left"
+        assert (await send_call(callers, server, patience_s=0.05)).outcome == "left"
 
 
-async def test_service_answer_is_judged_by_its_digest(callers):
+async def test_service_answer_is_checked_by_its_digest(callers):
     async with ServiceStandin() as server:
-        own = await ask(callers, server, "/chapel", key="k", service_path="/chapel")
-        other = await ask(callers, server, "/hearse", key="k", service_path="/chapel")
+        own = await send_call(callers, server, "/chapel", key="k", service_path="/chapel")
+        other = await send_call(callers, server, "/hearse", key="k", service_path="/chapel")
     assert (own.outcome, other.outcome) == ("whole", "mixed")
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page against the committed measurement file."""
+"""Tests of the capacity page against the committed measurement file."""
 
 import importlib
 import json
@@ -26,18 +26,18 @@
     assert sorted(named) == sorted(capacity.TABLES)
 
 
-def test_lines_are_those_of_the_samples():
-    """Someone edits a slope in the measurement file and the page follows it."""
+def test_lines_are_fitted_to_the_samples():
+    """Guards against a slope edited by hand in the measurement file, which the page would show."""
     for key, fitted in RESULTS["lines"].items():
         role, _, stage = key.partition(".")
         points = [s for s in RESULTS["samples"] if (s["role"], s["stage"]) == (role, stage)]
         for cost, line in fitted.items():
-            slope, intercept = fit([(point["x"], point[cost]) for point in points])
+            slope, intercept = fit_line([(point["x"], point[cost]) for point in points])
             assert slope == pytest.approx(line["slope"], rel=1e-6, abs=1e-8)
             assert intercept == pytest.approx(line["intercept"], rel=1e-6, abs=1e-6)
 
 
-def fit(points):
+def fit_line(points):
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
--- a/tests/test_configuration_machine.py
+++ b/tests/test_configuration_machine.py
@@ -1,8 +1,8 @@
-"""Operators, processes and a faulty table against a simple oracle.
+"""Stateful test of operators, processes and a faulty table against a simple oracle.
 
-The oracle is the list of log rows that the table holds in truth. No accepted change may be missing
-from it or have overwritten one that its author had not read, and every process must have exactly
-what the rows up to its revision say, and never go back.
+The oracle is the list of log rows actually stored in the table. No accepted change may be missing
+from it or have overwritten a change that its author had not read. Every process must have exactly
+the configuration given by the rows up to its revision, and never go back to an older revision.
 """
 
 import asyncio
@@ -32,17 +32,17 @@
 KEY = st.sampled_from(KEYS)
 VALUE = st.integers(1, 9)
 KEPT = 6
-"""Log rows kept, so few that processes fall behind the log and take the whole."""
+"""Log rows kept: so few that processes fall behind the log and read the complete state."""
 
 SCHEMAS = st.sampled_from([(1,), (2,), (1, 2)])
 
 
 class RacingTable(FaultyTable):
-    """Faulty table that lets another writer in just before a transaction, and heals by itself."""
+    """Faulty table that runs another write just before a transaction and recovers by itself."""
 
     def __init__(self):
         super().__init__()
-        self.interloper = None
+        self.concurrent_write = None
         self.failing_calls = 0
 
     def count_call(self):
@@ -59,9 +59,9 @@
 
     async def transact(self, operations):
         self.count_call()
-        interloper, self.interloper = self.interloper, None
-        if interloper is not None:
-            await interloper()
+        concurrent_write, self.concurrent_write = self.concurrent_write, None
+        if concurrent_write is not None:
+            await concurrent_write()
         return await super().transact(operations)
 
 
@@ -69,15 +69,15 @@
     kind, name = key
     if kind == "group":
         return [GroupRecord(name, places=value)]
-    forms = {
+    by_schema = {
         1: ClassRecordV1(name, value, 0.5, 5.0),
         2: ClassRecord(name, value, 0.5, 0.05, 5.0),
     }
-    return [forms[schema] for schema in schemas]
+    return [by_schema[schema] for schema in schemas]
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Two operators, three processes, one of them of the old release."""
+    """Two operators and three processes, one of them of the old release."""
 
     def __init__(self):
         super().__init__()
@@ -88,7 +88,7 @@
         self.accepted = {}
         self.refused = set()
         self.unknown = set()
-        self.parts = []
+        self.messages = []
         self.rows = []
 
     @initialize()
@@ -104,15 +104,15 @@
             self.read_table(number)
         self.check_accepted()
         self.check_processes()
-        head = len(self.truth())
+        head = len(self.all_rows())
         assert all(holder.revision == head for holder in self.holders)
         self.loop.close()
 
     def run_async(self, coroutine):
         return self.loop.run_until_complete(coroutine)
 
-    def truth(self):
-        """Return all rows that the log ever had, read past all faults before they are removed."""
+    def all_rows(self):
+        """Return all rows that the log ever had, read without faults before they are removed."""
         view = MemoryTable()
         view._rows = self.table._rows
         view._keys = sorted(view._rows)
@@ -175,11 +175,11 @@
         second = 1 - first
         self.operator_reads(first, key)
         self.operator_reads(second, other_key)
-        self.table.interloper = lambda: self.write(
+        self.table.concurrent_write = lambda: self.write(
             second, other_key, make_records(other_key, value + 1, schemas)
         )
         self.run_async(self.write(first, key, make_records(key, value, schemas)))
-        self.table.interloper = None
+        self.table.concurrent_write = None
 
     # Faults of the table
 
@@ -225,7 +225,7 @@
 
     @rule(sender=HOLDERS, revision=st.integers(0, 12))
     def part_is_on_its_way(self, sender, revision):
-        self.parts.append(self.holders[sender].log_after(revision))
+        self.messages.append(self.holders[sender].log_after(revision))
 
     @rule(sender=HOLDERS, receiver=HOLDERS, value=VALUE)
     def part_before_it_is_lost(self, sender, receiver, value):
@@ -235,23 +235,23 @@
             self.operator_edits(0, key, value, (1, 2))
         self.read_table(sender)
         part = self.holders[sender].log_after(self.holders[receiver].revision + 1)
-        self.part_arrives(receiver, [part])
+        self.deliver_messages(receiver, [part])
 
     @rule(receiver=HOLDERS, key=KEY)
     def whole_after_a_withdrawal(self, receiver, key):
         self.operator_withdraws(0, key)
         self.whole_is_on_its_way()
-        self.part_arrives(receiver, self.parts[-1:])
+        self.deliver_messages(receiver, self.messages[-1:])
 
-    def part_arrives(self, receiver, parts):
-        for part in parts:
+    def deliver_messages(self, receiver, messages):
+        for part in messages:
             self.holders[receiver].apply(part, 1.0)
 
     @rule()
     def whole_is_on_its_way(self):
         part = self.run_async(RecordLog(self.table).read_all())
         if part.is_ok():
-            self.parts.append(part.ok())
+            self.messages.append(part.ok())
 
     @rule(receiver=HOLDERS, key=KEY, value=VALUE)
     def part_is_overtaken_by_the_next_change(self, receiver, key, value):
@@ -260,12 +260,12 @@
         self.part_is_on_its_way(receiver, 0)
         self.operator_edits(0, key, value, (1, 2))
         self.read_table(receiver)
-        self.part_arrives(receiver, self.parts[-2:])
+        self.deliver_messages(receiver, self.messages[-2:])
 
     @rule(receiver=HOLDERS, data=st.data())
     def part_arrives_late(self, receiver, data):
-        if self.parts:
-            part = data.draw(st.sampled_from(self.parts))
+        if self.messages:
+            part = data.draw(st.sampled_from(self.messages))
             self.holders[receiver].apply(part, 1.0)
 
     @rule(number=HOLDERS, peer=HOLDERS)
@@ -276,11 +276,11 @@
             self.fetch_from_peer(peer, number)
             assert self.holders[number].revision == self.holders[peer].revision
 
-    # What must hold
+    # Invariants
 
     @invariant()
     def check_accepted(self):
-        rows = self.truth()
+        rows = self.all_rows()
         by_id = {row.change_id: row for row in rows}
         assert len(by_id) == len(rows)
         assert set(by_id) <= set(self.accepted) | self.unknown
@@ -289,12 +289,12 @@
             row = by_id[change_id]
             assert (row.entry.revision, row.key) == (revision, key)
             earlier = [other for other in rows[: revision - 1] if other.key == key]
-            standing = earlier[-1] if earlier and not earlier[-1].withdrawn else None
-            assert expected == (standing.entry.revision if standing else 0)
+            current = earlier[-1] if earlier and not earlier[-1].withdrawn else None
+            assert expected == (current.entry.revision if current else 0)
 
     @invariant()
     def check_processes(self):
-        rows = self.truth()
+        rows = self.all_rows()
         for number, holder in enumerate(getattr(self, "holders", [])):
             assert holder.revision >= self.seen[number]
             self.seen[number] = holder.revision
@@ -305,13 +305,13 @@
         kind, name = key
         field = {"group": "groups", "class": "classes"}[kind]
         in_force = getattr(holder.snapshot, field).get(name)
-        forms = [row for row in rows if row.key == key]
-        if not forms or forms[-1].withdrawn:
+        key_rows = [row for row in rows if row.key == key]
+        if not key_rows or key_rows[-1].withdrawn:
             assert in_force is None
             return
         readable = [
             decode_record(kind, name, row.entry.bodies, holder.known).ok()
-            for row in forms
+            for row in key_rows
             if not row.withdrawn
         ]
         if readable[-1] is not None:
--- a/tests/test_configuration_return_machine.py
+++ b/tests/test_configuration_return_machine.py
@@ -1,8 +1,8 @@
-"""Operators and processes over returns of the table, against the order in which changes came.
+"""Stateful test of operators and processes while the table is restored from copies.
 
-The places of a group are the number of the change, so that what is in force names the change that
-it comes from. No process may go from a later change of a record to an earlier one, in whatever
-order the table forgets, peers tell, and processes restart.
+The places of a group are the number of the change, so the value in force identifies its change. No
+process may go from a later change of a record back to an earlier one, in whatever order the table
+loses changes, peers send updates, and processes restart.
 """
 
 import asyncio
@@ -18,11 +18,11 @@
 NAME = st.sampled_from(NAMES)
 PROCESS = st.integers(0, 2)
 KEPT = 5
-"""Log rows kept, so few that processes fall behind the log and take the whole."""
+"""Log rows kept: so few that processes fall behind the log and read the complete state."""
 
 
-class ReturnMachine(RuleBasedStateMachine):
-    """One operator, three processes and a table that returns from copies."""
+class RestoreMachine(RuleBasedStateMachine):
+    """One operator, three processes and a table that is restored from copies."""
 
     def __init__(self):
         super().__init__()
@@ -40,7 +40,7 @@
     @initialize()
     def start(self):
         self.holders = [ConfigurationHolder() for _ in range(3)]
-        self.words = [dict.fromkeys(NAMES, 0) for _ in range(3)]
+        self.last_changes = [dict.fromkeys(NAMES, 0) for _ in range(3)]
         self.seen = [0] * 3
 
     def teardown(self):
@@ -68,7 +68,7 @@
         put = self.run_async(self.log.put(records, "anna", expected, 1.0))
         if put.is_ok():
             assert expected not in self.lost
-            self.note(put.ok().revision)
+            self.record_accepted(put.ok().revision)
         elif expected in self.lost:
             assert put.err().kind is RefusalKind.CHANGED
             assert "was lost" in put.err().detail
@@ -86,9 +86,9 @@
         done = self.run_async(self.log.withdraw("group", name, "anna", expected, 1.0))
         if done.is_ok():
             self.withdrawals[name].append(self.changes)
-            self.note(done.ok().revision)
+            self.record_accepted(done.ok().revision)
 
-    def note(self, revision):
+    def record_accepted(self, revision):
         assert revision not in self.accepted
         self.accepted.add(revision)
 
@@ -124,7 +124,7 @@
     @rule(number=PROCESS)
     def restart(self, number):
         self.holders[number] = ConfigurationHolder()
-        self.words[number] = dict.fromkeys(NAMES, 0)
+        self.last_changes[number] = dict.fromkeys(NAMES, 0)
         self.seen[number] = 0
 
     @invariant()
@@ -136,17 +136,17 @@
                 self.check_record(number, name, holder.snapshot.groups.get(name))
 
     def check_record(self, number, name, group):
-        """Check that a record is at the change last known or a later one."""
-        word = self.words[number][name]
+        """Check that a record is at its last observed change or a later one."""
+        last_change = self.last_changes[number][name]
         if group is not None:
-            assert group.places == abs(word) or group.places > abs(word)
-            assert word >= 0 or group.places > -word
-            self.words[number][name] = group.places
-        elif word > 0:
-            later = [change for change in self.withdrawals[name] if change > word]
+            assert group.places == abs(last_change) or group.places > abs(last_change)
+            assert last_change >= 0 or group.places > -last_change
+            self.last_changes[number][name] = group.places
+        elif last_change > 0:
+            later = [change for change in self.withdrawals[name] if change > last_change]
             assert later
-            self.words[number][name] = -later[0]
+            self.last_changes[number][name] = -later[0]
 
 
-ReturnMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=50)
-test_configuration_over_returns = ReturnMachine.TestCase
+RestoreMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=50)
+test_configuration_over_returns = RestoreMachine.TestCase
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo runs the main job on real processes."""
+"""End-to-end tests of the demo on real processes."""
 
 import subprocess
 import sys
@@ -16,7 +16,7 @@
 
 
 def test_wrong_answers_give_a_failing_exit_status():
-    # The command line library may return the status instead of exiting with it.
+    # Guards against a command-line library that returns the status instead of exiting with it.
     code = (
         "import runpy, sys, uvloop; uvloop.run = lambda work: work.close() or 1; "
         f"sys.argv = ['demo']; runpy.run_path({str(DEMO)!r}, run_name='__main__')"
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports between the packages run one way only."""
+"""Tests of the layering: imports between packages go in one direction only."""
 
 import ast
 import graphlib
@@ -11,9 +11,9 @@
 ADAPTER = ROOT / "platform" / "src" / "burdockquay_platform"
 
 MAX_ADAPTER_LINES = 1500
-"""Lines of the adapter without its tests: what grows beyond them belongs in the product."""
+"""Limit on the lines of the adapter without its tests; further code belongs in the product."""
 
-PLATFORM_WORDS = (
+PLATFORM_NAMES = (
     "rows-get",
     "rows-feed",
     "rows-tx",
@@ -43,9 +43,9 @@
     "waitMs",
     "nowMs",
 )
-"""Paths, headers and fields that only the adapter may know."""
+"""Paths, headers and fields that may occur only in the adapter."""
 
-# Each package may import those behind it in the list; the stand-ins only what lasts.
+# Packages that each package may import. The stand-ins may import only the state package.
 ALLOWED = {
     "burdockquay_state": set(),
     "burdockquay_protocol": {"burdockquay_state"},
@@ -83,33 +83,33 @@
     ]
     assert sources
     for path in sources:
-        ours = set(imported_packages(path)) & set(ALLOWED) - {package}
-        assert ours <= ALLOWED[package], f"{path} imports {ours - ALLOWED[package]}"
+        own_imports = set(imported_packages(path)) & set(ALLOWED) - {package}
+        assert own_imports <= ALLOWED[package], f"{path} imports {own_imports - ALLOWED[package]}"
 
 
 def source_files(folder):
     return [path for path in folder.rglob("*.py") if "tests" not in path.parts]
 
 
-def test_only_the_adapter_knows_the_words_of_the_platform():
+def test_only_the_adapter_contains_platform_names():
     found = {
-        f"{path.relative_to(ROOT)}: {word}"
+        f"{path.relative_to(ROOT)}: {platform_name}"
         for path in source_files(PACKAGES)
-        for word in PLATFORM_WORDS
-        if word in path.read_text()
+        for platform_name in PLATFORM_NAMES
+        if platform_name in path.read_text()
     }
     assert found == set()
 
 
 def test_adapter_imports_layers_below_and_no_other_package_imports_it():
-    ours = {name for path in source_files(ADAPTER) for name in imported_packages(path)}
-    assert ours & set(ALLOWED) <= {
+    own_imports = {name for path in source_files(ADAPTER) for name in imported_packages(path)}
+    assert own_imports & set(ALLOWED) <= {
         "burdockquay_state",
         "burdockquay_coordination",
         "burdockquay_transport",
     }
-    others = {name for path in source_files(PACKAGES) for name in imported_packages(path)}
-    assert "burdockquay_platform" not in others
+    other_imports = {name for path in source_files(PACKAGES) for name in imported_packages(path)}
+    assert "burdockquay_platform" not in other_imports
 
 
 def test_adapter_stays_small():
@@ -125,7 +125,7 @@
 
 
 def imported_siblings(path):
-    """Yield the modules of the same folder that a module imports, also for types alone."""
+    """Yield the modules of the same folder that a module imports, including type-only imports."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.level == 1:
             names = [node.module] if node.module else [alias.name for alias in node.names]
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("folder", FORWARDING, ids=lambda folder: folder.parts[-2])
-def test_modules_of_a_folder_never_import_each_other_in_a_circle(folder):
+def test_modules_of_a_folder_have_no_import_cycles(folder):
     modules = {path.stem: path for path in folder.glob("*.py") if path.stem != "__init__"}
     assert modules
     order = graphlib.TopologicalSorter(
--- a/tests/test_policy_bench.py
+++ b/tests/test_policy_bench.py
@@ -1,4 +1,4 @@
-"""The loads that the decisions on prompts answer, replayed against a model of the engines."""
+"""Tests of the prompt scheduling, with load patterns replayed against a model of the engines."""
 
 import importlib.util
 from pathlib import Path
@@ -17,33 +17,33 @@
 
 bench = load_bench()
 
-GAPS = {"one priority, engines gone": 0.1}
-"""Largest distance in time from the queue that knows everything, where it is not 0.05: beyond what
-the engines can read, each wrong prediction costs a request that could have been in time."""
+MAX_GAPS = {"one priority, engines gone": 0.1}
+"""Largest allowed difference in the share in time from the ideal queue, if not 0.05. When the load
+exceeds what the engines can read, each wrong prediction makes one more request late."""
 
 
 @pytest.mark.parametrize(
     "label", ["burst of long prompts", "one priority, engines gone", "a third of the engines gone"]
 )
-def test_urgent_requests_stay_in_time_where_sending_at_once_makes_them_late(label):
-    """Long prompts come faster than the engines read them.
+def test_urgent_requests_stay_in_time_where_immediate_sending_makes_them_late(label):
+    """Long prompts arrive faster than the engines can read them.
 
-    Sent at once, they make short urgent requests wait behind them; callers of these see a pause of
-    seconds before the first word.
+    If they are sent immediately, short urgent requests wait behind them, and their callers wait
+    for seconds until the first token.
     """
     pattern = bench.PATTERNS[label]
-    at_once = bench.simulate(pattern, "homes", seed=1)
-    present = bench.simulate(pattern, "queue", seed=1)
-    assert at_once["short"] < 0.95
-    assert present["short"] > 0.98
-    assert present["long"] >= at_once["long"]
+    immediate = bench.simulate(pattern, "homes", seed=1)
+    current = bench.simulate(pattern, "queue", seed=1)
+    assert immediate["short"] < 0.95
+    assert current["short"] > 0.98
+    assert current["long"] >= immediate["long"]
 
 
 @pytest.mark.parametrize("label", bench.PATTERNS)
-def test_present_policy_is_close_to_one_queue_that_knows_everything(label):
+def test_current_policy_is_close_to_the_ideal_queue(label):
     pattern = bench.PATTERNS[label]
-    present = bench.simulate(pattern, "queue", seed=2)
+    current = bench.simulate(pattern, "queue", seed=2)
     ideal = bench.simulate(pattern, "ideal", seed=2)
-    gap = GAPS.get(label, 0.05)
-    assert present["short"] > ideal["short"] - gap
-    assert present["long"] > ideal["long"] - gap
+    gap = MAX_GAPS.get(label, 0.05)
+    assert current["short"] > ideal["short"] - gap
+    assert current["long"] > ideal["long"] - gap
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference pages against the tables they are made from."""
+"""Tests of the reference pages against the tables from which they are generated."""
 
 import ast
 import importlib.util
@@ -41,7 +41,7 @@
 
 
 def metric_names(path):
-    """Yield the literal start of every metric name that a source file counts, times or sets."""
+    """Yield the literal prefix of every metric name that a source file counts, times or sets."""
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.Call) or not node.args:
             continue
