--- a/benchmarks/_table_calls.py
+++ b/benchmarks/_table_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the table that configuration makes, counted at a table in memory."""
+"""Table calls made for the configuration, counted at an in-memory table."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def count_table_calls() -> list[dict[str, Any]]:
-    """Return, for several numbers of records, the calls of a change, a start and a poll."""
+    """Return, for several numbers of records, the table calls of a change, a start and a poll."""
     table = MemoryTable()
     log = RecordLog(table)
     rows, low = [], 0
@@ -29,10 +29,10 @@
 
 
 async def _count(table: MemoryTable, log: RecordLog) -> dict[str, int]:
-    known = (await log.get("organisation", "org-0")).unwrap().entry
+    current = (await log.get("organisation", "org-0")).unwrap().entry
     reads, writes = table.reads, table.writes
-    changed = organisation_record("org-0", requests_per_s=known.revision + 1.0)
-    (await log.put([changed], "bench", known.revision, 0.0)).unwrap()
+    changed = organisation_record("org-0", requests_per_s=current.revision + 1.0)
+    (await log.put([changed], "bench", current.revision, 0.0)).unwrap()
     counts = {"change_reads": table.reads - reads, "change_writes": table.writes - writes}
     reads = table.reads
     (await log.read_all()).unwrap()
--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -1,8 +1,9 @@
-"""Configuration, membership and stopping of real processes under load.
+"""Configuration changes, membership and shutdown of real processes under load.
 
-Three entries and eight slots serve a steady load while operators change records, two of them the
-same one at once, while the table answers with old states, loses confirmations and goes down, and
-while every process is replaced, at most four at a time. The VM list lags all the time.
+Three entries and eight slots serve a constant load while operators change records (two of them the
+same record concurrently), while the table serves stale reads, drops confirmations and becomes
+unavailable, and while every process is replaced, at most four at a time. The VM list is delayed
+throughout.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from _processes import Process
 from _records import CHAT_PATH, api_key, class_route, organisation_record
 from _report import print_result, print_table
-from _spread import SpreadWatch
+from _spread import RevisionMonitor
 
 from burdockquay_standins import EngineParameters, PlatformParameters
 from burdockquay_state import (
@@ -43,12 +44,12 @@
 COUNTER = "counter"
 CHANGES = 4
 CHANGE_PAUSE_S = 0.4
-INCREMENTS = 12
-LOST_CONFIRMATIONS = 0.2
+INCREMENTS_PER_OPERATOR = 12
+LOST_CONFIRMATION_SHARE = 0.2
 STALE_S = 1.5
 OUTAGE_S = 2.0
 READY_LIMIT_S = 4.0
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 LIST_WATCH_S = 2.0
 SLOTS_AT_ONCE = 4
 ENTRIES_AT_ONCE = 2
@@ -67,26 +68,27 @@
 
 
 def domain_of(number: int) -> str:
-    """Return the failure domain of the process with a number."""
+    """Return the failure domain of the process with the given number."""
     return DOMAINS[number % len(DOMAINS)]
 
 
 @attrs.define
 class Figures:
-    """What the run gave besides the spread and the callers' counts.
+    """Figures of the run besides the revisions in force and the callers' counts.
 
     Parameters
     ----------
     increments : int
         Accepted increments of the counter.
     counter : int
-        What the counter shows at the end.
+        Increments visible in the record at the end.
     new_work_s : list of float
-        For each slot that left, how long after its word or the list's it still began new work.
+        For each drained slot, the time after its own stop signal or the VM list's state change
+        during which it still started new requests.
     refusals : dict of str to int
-        Refused changes by kind.
+        Rejected changes by kind.
     ready_in_outage : bool
-        Whether an entry that started while the platform was down became ready meanwhile.
+        Whether an entry started during the platform outage became ready before its end.
     """
 
     increments: int = 0
@@ -97,7 +99,7 @@
 
 
 class ConfigRun:
-    """One deployment and what is done to it.
+    """One deployment and the operations and faults applied to it.
 
     Parameters
     ----------
@@ -106,7 +108,7 @@
 
     def __init__(self, cluster: Cluster):
         self.cluster = cluster
-        self.watch = SpreadWatch(cluster)
+        self.monitor = RevisionMonitor(cluster)
         self.figures = Figures()
         self.engines: dict[str, Process] = {}
 
@@ -131,32 +133,32 @@
         await self.cluster.start_slot(vm, GROUP.name, domain, engine.url)
 
     async def start_entry(self, vm: str, domain: str) -> None:
-        """Start an entry that knows some slots without the list."""
+        """Start an entry with seed slots, which it can reach without the VM list."""
         seeds = [f"127.0.0.1:{slot.listening['port']}" for slot in self.cluster.slots.values()]
         await self.cluster.start_entry(vm, domain, seed_slots=seeds)
 
     async def measure(self) -> BalancerCounts:
-        """Send the load while everything happens."""
+        """Send the load while all operations and faults are applied."""
         stop = asyncio.Event()
-        watching = asyncio.create_task(self.watch.run())
+        monitoring = asyncio.create_task(self.monitor.run())
         load = asyncio.create_task(Balancer(self.cluster, SEED).run(CHAT_PATH, CALL, RATE, stop))
         try:
             await self._change_records()
-            await self._count_together()
-            await self._change_with_old_reads()
-            await self._lose_platform()
-            await self._leave_by_list()
+            await self._increment_concurrently()
+            await self._change_with_stale_reads()
+            await self._run_platform_outage()
+            await self._drain_by_list()
             await self._replace_all()
             await self._change_records()
             await asyncio.sleep(1.0)
         finally:
             stop.set()
             counts = await load
-            watching.cancel()
+            monitoring.cancel()
         return counts
 
     async def _change_records(self) -> None:
-        """Change one record again and again, its old schema beside the new one at times."""
+        """Change one record repeatedly, every other time in the old schema as well."""
         for number in range(CHANGES):
             record = attrs.evolve(CLASS, priority=10 + number)
             old = attrs.evolve(OLD_CLASS, priority=10 + number)
@@ -173,7 +175,7 @@
     async def _put_at(self, log: RecordLog, records: Sequence, author: str, expected: int) -> bool:
         result = await log.put(records, author, expected, time.time())
         if result.is_ok():
-            self.watch.accepted(result.ok().revision, time.monotonic())
+            self.monitor.record_accepted(result.ok().revision, time.monotonic())
             return True
         kind = result.err().kind
         name = kind.value
@@ -182,24 +184,24 @@
             raise RuntimeError(f"change not accepted: {result.err()}")
         return False
 
-    async def _count_together(self) -> None:
-        """Let two operators increment the same record at once, with confirmations lost."""
+    async def _increment_concurrently(self) -> None:
+        """Let two operators increment the same record concurrently while confirmations are lost."""
         platform = self.cluster.platform
-        await self.cluster.switch_faults(platform, lose_confirmation=LOST_CONFIRMATIONS)
-        await asyncio.gather(self._count("first"), self._count("second"))
+        await self.cluster.switch_faults(platform, lose_confirmation=LOST_CONFIRMATION_SHARE)
+        await asyncio.gather(self._increment("first"), self._increment("second"))
         await self.cluster.switch_faults(platform, lose_confirmation=0)
         self.figures.counter = await self._read_counter() - 1
 
-    async def _count(self, author: str) -> None:
+    async def _increment(self, author: str) -> None:
         log = self.cluster.log
-        left = INCREMENTS
-        while left:
+        remaining = INCREMENTS_PER_OPERATOR
+        while remaining:
             row = (await log.get("organisation", COUNTER)).unwrap()
             entry = row.entry
             record = decode_record(entry.kind, entry.name, entry.bodies).unwrap()
             changed = attrs.evolve(record, outstanding=record.outstanding + 1)
             if await self._put_at(log, [changed], author, entry.revision):
-                left -= 1
+                remaining -= 1
                 self.figures.increments += 1
             await asyncio.sleep(0.01)
 
@@ -208,23 +210,23 @@
         entry = row.entry
         return decode_record(entry.kind, entry.name, entry.bodies).unwrap().outstanding
 
-    async def _change_with_old_reads(self) -> None:
-        """Change a record while a process that reads the table sees the state before it."""
+    async def _change_with_stale_reads(self) -> None:
+        """Change a record while reads of the table return the state before the change."""
         platform = self.cluster.platform
         row = (await self.cluster.log.get("class", "draft")).unwrap()
         await self.cluster.switch_faults(platform, stale_reads_s=STALE_S)
-        # The conditions of a write are checked against the present state, so that this one is
-        # accepted; what is measured begins when reads can show it.
+        # Conditions of a write are checked against the current state, so this write is accepted.
+        # The delay is measured from the time at which reads can return it.
         begun = time.monotonic()
         result = await self.cluster.log.put(
             [attrs.evolve(CLASS, priority=50)], "operator", row.entry.revision, time.time()
         )
         if result.is_ok():
-            self.watch.accepted(result.ok().revision, begun + STALE_S)
+            self.monitor.record_accepted(result.ok().revision, begun + STALE_S)
         await asyncio.sleep(max(0.0, begun + STALE_S - time.monotonic()))
 
-    async def _lose_platform(self) -> None:
-        """Take the platform away, replace an entry meanwhile, and try to change a record."""
+    async def _run_platform_outage(self) -> None:
+        """Take the platform down, start another entry meanwhile, and try to change a record."""
         platform = self.cluster.platform
         await self.cluster.switch_faults(platform, outage=True)
         begun = time.monotonic()
@@ -233,14 +235,14 @@
             raise RuntimeError("a change was accepted while the table was down")
         vm = "entry-outage"
         await self.start_entry(vm, DOMAINS[0])
-        # The outage lasts until the entry is ready, so that a slow start of its process on a busy
-        # machine is not taken for an entry that finds no configuration.
+        # The outage lasts until the entry is ready, so that a slow process start on a busy machine
+        # is not mistaken for an entry that cannot obtain the configuration.
         limit = time.monotonic() + READY_LIMIT_S
         while time.monotonic() < begun + OUTAGE_S or (
             not self.figures.ready_in_outage and time.monotonic() < limit
         ):
             self.figures.ready_in_outage |= await self._is_ready(self.cluster.entries[vm])
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         await self.cluster.switch_faults(platform, outage=False)
         await self._put([attrs.evolve(CLASS, priority=60)], "operator")
 
@@ -255,12 +257,14 @@
         except aiohttp.ClientError:
             return False
 
-    async def _leave_by_list(self) -> None:
-        """Let the list alone say that a slot leaves, and then replace the slot."""
+    async def _drain_by_list(self) -> None:
+        """Drain a slot through the VM list alone, and then replace it."""
         vm = "slot-0"
         await self.cluster.set_vm_state(vm, VmState.LEAVING)
         shown_at = time.monotonic() + VM_LIST_LAG_S
-        await self._note_new_work(vm, shown_at, lambda: time.monotonic() < shown_at + LIST_WATCH_S)
+        await self._record_new_work(
+            vm, shown_at, lambda: time.monotonic() < shown_at + LIST_WATCH_S
+        )
         await self._replace_slot(vm)
 
     async def _replace_all(self) -> None:
@@ -280,10 +284,10 @@
         await self.start_slot(f"{vm}-new", self.cluster.vms[vm].failure_domain)
         await self._wait_ready(self.cluster.slots[f"{vm}-new"])
         process = self.cluster.slots[vm]
-        left_at = time.monotonic()
+        leaving_at = time.monotonic()
         process.terminate()
-        await self._note_new_work(vm, left_at, lambda: process.running)
-        await self._forget(vm, self.cluster.slots)
+        await self._record_new_work(vm, leaving_at, lambda: process.running)
+        await self._remove_exited(vm, self.cluster.slots)
 
     async def _replace_entry(self, vm: str) -> None:
         await self.start_entry(f"{vm}-new", self.cluster.vms[vm].failure_domain)
@@ -291,31 +295,31 @@
         process = self.cluster.entries[vm]
         process.terminate()
         await process.wait(limit_s=10.0)
-        await self._forget(vm, self.cluster.entries)
+        await self._remove_exited(vm, self.cluster.entries)
 
-    async def _forget(self, vm: str, processes: dict[str, Process]) -> None:
-        """Take an ended process off; the list goes on showing it for its lag."""
+    async def _remove_exited(self, vm: str, processes: dict[str, Process]) -> None:
+        """Remove an exited process; the VM list shows it until its delay has passed."""
         process = processes.pop(vm)
         code = await process.wait()
         if code != 0:
-            raise RuntimeError(f"{vm} ended with {code}: {process.log_tail()}")
+            raise RuntimeError(f"{vm} exited with status {code}: {process.log_tail()}")
         await self.cluster.remove_vm(vm)
 
     async def _wait_ready(self, process: Process) -> None:
         while not await self._is_ready(process):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _note_new_work(self, vm: str, left_at: float, goes_on) -> None:
-        """Note how long behind ``left_at`` the engine of a slot began to run new requests."""
+    async def _record_new_work(self, vm: str, leaving_at: float, keep_watching) -> None:
+        """Record how long after ``leaving_at`` the engine of a slot still started new requests."""
         engine = self.engines[vm]
         begun = await self._count_starts(engine)
-        last_at = left_at
-        while goes_on():
-            await asyncio.sleep(LOOK_S)
+        last_at = leaving_at
+        while keep_watching():
+            await asyncio.sleep(POLL_INTERVAL_S)
             now_begun = await self._count_starts(engine)
             if now_begun != begun:
                 begun, last_at = now_begun, time.monotonic()
-        self.figures.new_work_s.append(max(0.0, last_at - left_at))
+        self.figures.new_work_s.append(max(0.0, last_at - leaving_at))
 
     async def _count_starts(self, engine: Process) -> int:
         stats = await self.cluster.read_json(f"{engine.url}/stats")
@@ -324,8 +328,8 @@
 
 def report(run: ConfigRun, counts: BalancerCounts) -> None:
     """Print the figures."""
-    figures, watch = run.figures, run.watch
-    delays = watch.delays()
+    figures, monitor = run.figures, run.monitor
+    delays = monitor.delays()
     print_table(
         "Changes",
         ("accepted", "in force max s", "median s", "incarnations", "refused"),
@@ -334,7 +338,7 @@
                 len(delays),
                 max(delays),
                 sorted(delays)[len(delays) // 2],
-                len(watch.seen),
+                len(monitor.observed),
                 str(figures.refusals),
             )
         ],
@@ -354,7 +358,7 @@
     print_result(
         {
             "in_force_s_max": max(delays),
-            "reverts": watch.reverts,
+            "reverts": monitor.reverts,
             "lost_updates": figures.increments - figures.counter,
             "new_work_after_leaving_s_max": max(figures.new_work_s),
             "cut_requests": len(counts.cut),
--- a/benchmarks/bench_flood_model.py
+++ b/benchmarks/bench_flood_model.py
@@ -1,4 +1,4 @@
-"""A model of one organisation that sends ten times its part, without processes."""
+"""Model, without processes, of one organisation that sends ten times its share of the load."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 FLOODING = "small-7"
 FLOOD_TIMES = 10
 DEMAND = {"dosage": 0.8, "renewal": 1.7}
-"""Requests as parts of the capacity."""
+"""Offered requests by class, as a multiple of the capacity."""
 CLASSES = {
     "dosage": ClassRecord("dosage", 40, TARGET_S, 0.1, 1.5, share=0.3),
     "renewal": ClassRecord("renewal", 10, TARGET_S, 0.1, 1.5, share=0.15),
@@ -27,7 +27,7 @@
 
 
 class Model:
-    """Virtual time: one entry before all places; requests start as places free up."""
+    """Simulation in virtual time: one entry in front of all places, with requests queued in it."""
 
     def __init__(self, flood: bool, seed: int):
         self.rng = random.Random(seed)
@@ -42,10 +42,10 @@
         self.ends: list[tuple[float, int, str, str]] = []
         self.sent: dict[str, int] = {}
         self.met: dict[str, int] = {}
-        self.arrivals = sorted(self.plan(flood))
+        self.arrivals = sorted(self.make_arrivals(flood))
 
-    def plan(self, flood: bool) -> Iterator[tuple[float, str, str]]:
-        """Return the arrivals; a flood adds to the same ones."""
+    def make_arrivals(self, flood: bool) -> Iterator[tuple[float, str, str]]:
+        """Yield the arrivals; a flood does not change those of the other organisations."""
         total = sum(WEIGHTS.values())
         for class_name, part in DEMAND.items():
             for name, weight in WEIGHTS.items():
@@ -70,7 +70,7 @@
         return met / sum(self.sent[name] for name in others)
 
     def end_until(self, now: float) -> None:
-        """End what is due and start what waits."""
+        """End the requests that are due and start waiting ones."""
         while self.ends and self.ends[0][0] <= now:
             at, _, class_name, name = heapq.heappop(self.ends)
             self.free += 1
@@ -81,14 +81,21 @@
         """Start requests while there are places."""
         for waiting in self.queue.expire(now):
             self.admission.finished(waiting.organisation, waiting.class_name, now)
-        while self.free and (one := self.queue.pop(now)) is not None:
+        while self.free and (request := self.queue.pop(now)) is not None:
             self.free -= 1
-            wait_s = now - one.enqueued_at
-            self.admission.started(one.class_name, wait_s, now)
-            self.met[one.organisation] = self.met.get(one.organisation, 0) + (wait_s <= TARGET_S)
+            wait_s = now - request.enqueued_at
+            self.admission.started(request.class_name, wait_s, now)
+            self.met[request.organisation] = self.met.get(request.organisation, 0) + (
+                wait_s <= TARGET_S
+            )
             length_s = self.rng.expovariate(1.0 / SERVICE_S)
-            self.queue.charge(one.class_name, one.organisation, 125 * length_s, now)
-            end = (now + length_s, self.rng.getrandbits(40), one.class_name, one.organisation)
+            self.queue.charge(request.class_name, request.organisation, 125 * length_s, now)
+            end = (
+                now + length_s,
+                self.rng.getrandbits(40),
+                request.class_name,
+                request.organisation,
+            )
             heapq.heappush(self.ends, end)
 
 
--- a/scripts/make_reference.py
+++ b/scripts/make_reference.py
@@ -1,7 +1,7 @@
-"""Write the reference pages that follow from tables in the code.
+"""Generate the reference pages from tables in the code.
 
-``python scripts/make_reference.py`` writes ``docs/events.md`` and ``docs/errors.md``; a test holds
-that the committed pages are what it would write.
+``python scripts/make_reference.py`` writes ``docs/events.md`` and ``docs/errors.md``. A test checks
+that the committed pages equal the generated ones.
 """
 
 from __future__ import annotations
@@ -27,43 +27,43 @@
     18: "Orders to engines",
     19: "Forwarding",
 }
-"""Heading of each hundred of event numbers."""
+"""Page heading by the hundreds of the event number."""
 
 CAUSES: dict[ErrorKind, str] = {
-    ErrorKind.BAD_REQUEST: "Mend the request; the detail names the part, expected and got.",
+    ErrorKind.BAD_REQUEST: "Correct the request; the detail names the part, expected and got.",
     ErrorKind.UNAUTHENTICATED: "Send `Authorization: Bearer KEY` with a key whose digest is in an "
     "organisation record.",
     ErrorKind.NOT_FOUND: "No route record matches organisation, path, model and header.",
     ErrorKind.UNKNOWN_MODEL: "`GET /v1/models` lists the models of the group records.",
     ErrorKind.BODY_TOO_LARGE: "The limit is `max_body_bytes` in the settings of the entry.",
-    ErrorKind.KEY_REQUIRED: "Send a key that stays the same over all repeats of the request.",
-    ErrorKind.KEY_REUSED: "Another method, path or body came with this key; draw a new key.",
-    ErrorKind.IN_PROGRESS: "Repeat with the same key to hear the outcome.",
-    ErrorKind.OUTCOME_UNKNOWN: "Repeat with the same key; the answer comes once it is recorded. "
-    "Without that, ask the upstream what it did.",
+    ErrorKind.KEY_REQUIRED: "Send a key that stays the same for all retries of the request.",
+    ErrorKind.KEY_REUSED: "Another method, path or body came with this key; generate a new key.",
+    ErrorKind.IN_PROGRESS: "Retry with the same key to get the outcome.",
+    ErrorKind.OUTCOME_UNKNOWN: "Retry with the same key; the answer comes once it is recorded. "
+    "If it never is, check at the upstream what it did.",
     ErrorKind.ORGANISATION_LIMIT: "`requests_per_s` or `outstanding` of the organisation record.",
-    ErrorKind.OVERLOADED: "Refused at once, before work was spent on it. Repeat later.",
-    ErrorKind.PATIENCE_EXCEEDED: "`patience_s` of the class record passed in the queue.",
-    ErrorKind.DEADLINE_EXCEEDED: "The deadline that the caller named, or the entry's own, passed.",
-    ErrorKind.QUARANTINED: "Upstreams crashed while they ran this request. Do not repeat it; an "
-    "operator frees it by a quarantine-withdrawal record.",
+    ErrorKind.OVERLOADED: "Refused immediately, before work was spent on it. Retry later.",
+    ErrorKind.PATIENCE_EXCEEDED: "The wait in the queue exceeded `patience_s` of the class record.",
+    ErrorKind.DEADLINE_EXCEEDED: "The deadline set by the caller, or by the entry, passed.",
+    ErrorKind.QUARANTINED: "Upstreams crashed while they ran this request. Do not retry it; an "
+    "operator releases it by a quarantine-withdrawal record.",
     ErrorKind.NO_UPSTREAM: "No slot of the group is connected and healthy.",
     ErrorKind.NO_PLACE: "Every place of the upstream was taken when the attempt arrived.",
-    ErrorKind.LEAVING: "A planned stop; another process takes the repeat.",
+    ErrorKind.LEAVING: "A planned shutdown; another process accepts the retry.",
     ErrorKind.NOT_READY: "The process has no configuration yet; see `/readyz`.",
     ErrorKind.TABLE_UNAVAILABLE: "Requests that run at most once wait for the table service.",
-    ErrorKind.CLAIM_LOST: "Another attempt of the same request was first.",
+    ErrorKind.CLAIM_LOST: "Another attempt of the same request obtained the claim first.",
     ErrorKind.CANCELLED: "The caller closed its connection; it is cancelled at the upstream too.",
     ErrorKind.UPSTREAM_REFUSED: "The upstream answered with an error before it ran the request.",
     ErrorKind.UPSTREAM_FAILED: "The upstream broke off; a stream ends with an error event.",
-    ErrorKind.PEER_LOST: "The slot or its VM is gone; whether the request ran is not known.",
-    ErrorKind.CONFIGURATION_STALE: "A forwarder lost the store for longer than an API key "
-    "may go on working after its withdrawal. Another process takes the repeat.",
-    ErrorKind.CRASH_SUSPECT: "A forwarder saw upstreams go down under this request; it is let "
-    "through again a minute after the last time.",
+    ErrorKind.PEER_LOST: "The slot or its VM is unreachable; whether the request ran is unknown.",
+    ErrorKind.CONFIGURATION_STALE: "A forwarder could not reach the store for longer than an API "
+    "key may remain valid after its withdrawal. Another process accepts the retry.",
+    ErrorKind.CRASH_SUSPECT: "A forwarder saw upstreams go down while they ran this request; it is "
+    "accepted again a minute after the last time.",
     ErrorKind.INTERNAL: "A fault in burdockquay; look for E1007 in the log.",
 }
-"""What is behind each kind, and what to do."""
+"""Cause of each error kind, and what to do about it."""
 
 
 def make_events_page() -> str:
@@ -71,14 +71,14 @@
     lines = [
         "# Events",
         "",
-        "Generated by `scripts/make_reference.py`. A line of the log holds a time in UTC, a level,",
-        "the number and the name of the event and its fields, as in",
+        "Generated by `scripts/make_reference.py`. A log line contains a time in UTC, a level, the",
+        "number and the name of the event and its fields, as in",
         "",
         "    2026-03-01T08:30:00.125000Z INFO E1301 peer_connected vm=slot-3 incarnation=9f2c",
         "",
-        "Values that are not plain words stand in quotes, escaped; long ones are cut. Secrets and",
-        "the content of requests are never logged. Events at level DEBUG may come for every",
-        "request; the counters in [metrics.md](metrics.md) tell their numbers at any level.",
+        "Values that are not plain words are quoted and escaped; long ones are truncated. Secrets",
+        "and the content of requests are never logged. Events at level DEBUG may occur for every",
+        "request; the counters in [metrics.md](metrics.md) count them at any level.",
     ]
     for hundred, heading in EVENT_GROUPS.items():
         events = [event for event in Event if event.number // 100 == hundred]
@@ -94,15 +94,15 @@
         "# Errors",
         "",
         "Generated by `scripts/make_reference.py`. Every refusal and failure is of one of these",
-        "kinds. The answer is JSON with the kind, a text and what is true of the request's run:",
+        "kinds. The answer is JSON with the kind, a text and whether the request ran:",
         "",
         "- `not_run`: it certainly did not run and never will;",
         "- `unknown`: it may have run, or may still run;",
         "- `ran`: it ran.",
         "",
-        "Where the process knows more of a request than the table does, the answer says that.",
+        "If the process has more specific information than this table, the answer states that.",
         "Each kind has the statsd counter `refusals.KIND`, and `retries.KIND` counts the attempts",
-        "that were tried again elsewhere because of it.",
+        "that were retried elsewhere because of it.",
         "",
     ]
     rows = [_describe_error(kind) for kind in ErrorKind]
@@ -132,11 +132,11 @@
 
 
 PAGES = {"events.md": make_events_page, "errors.md": make_errors_page}
-"""The function that makes each page."""
+"""Function that generates each page, by file name."""
 
 
 def main() -> None:
-    """Write all pages."""
+    """Write all reference pages."""
     for name, make in PAGES.items():
         (DOCS / name).write_text(make())
 
