--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,9 @@
 """Settings of the test run: hypothesis is deterministic, so that results are reproducible."""
 
+import gc
 import os
 
+import pytest
 from hypothesis import HealthCheck, settings
 
 settings.register_profile(
@@ -14,3 +16,13 @@
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
 )
 settings.load_profile(os.environ.get("BURDOCKQUAY_HYPOTHESIS_PROFILE", "ci"))
+
+
+@pytest.fixture
+def garbage_collected():
+    """Run the finalizers of earlier tests' garbage before a test that parses sources.
+
+    If the collector runs during ``ast.parse`` and a finalizer formats a traceback, which parses a
+    line too, Python 3.11 raises SystemError: AST constructor recursion depth mismatch.
+    """
+    gc.collect()
