--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
@@ -181,7 +181,7 @@
         """
         if row.digest == ticket.digest and row.state is not ClaimState.CANCELLED:
             return await self._interpret_row(ticket, row, now)
-        detail = "the table was restored from a copy after the attempt was made"
+        detail = "the table returned from a copy after the attempt was made"
         return Settled(SettledState.UNKNOWN, detail=detail)
 
     async def _cancel_or_read(
@@ -195,7 +195,7 @@
             if row is not None and row.version > ticket.expected_version:
                 return Ok(CancelOutcome(False, row))
             if self._was_table_restored_since(ticket.expected_version):
-                detail = "attempts of an earlier era can no longer claim"
+                detail = "no attempt of an earlier era can claim any more"
                 return Err(TableError(TableErrorKind.CONFLICT, detail))
         return await self.claims.cancel(
             ticket.organisation, ticket.key, ticket.expected_version, ticket.digest, now
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
@@ -87,7 +87,7 @@
             another attempt or a cancellation was first; the entry settles the outcome.
         """
         if not self.outcomes.has_room:
-            detail = "too many outcomes are waiting for the table service"
+            detail = "too many outcomes wait for the table service"
             return _refuse(run, ErrorKind.TABLE_UNAVAILABLE, detail)
         era = era_of(run.expected_version)
         if not await self.eras.admits(era):
@@ -147,9 +147,9 @@
 
     def _refuse_era(self, run: Run, era: int) -> Result[Claim, NotRun]:
         if era < self.eras.era:
-            detail = "the table was restored from a copy since the attempt was made"
+            detail = "the table returned from a copy since the attempt was made"
             return _refuse(run, ErrorKind.CLAIM_LOST, detail)
-        detail = "claims that the table has lost may still be restored"
+        detail = "claims that the table lost may still be written again"
         return _refuse(run, ErrorKind.TABLE_UNAVAILABLE, detail)
 
     def _refuse_claim(
--- a/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
@@ -251,9 +251,7 @@
     async def _on_peer_lost(
         self, call: Call, dispatcher: GroupDispatcher, event: PeerLost
     ) -> list[AnswerItem]:
-        failed = Failed(
-            *call.attempt_key, ErrorKind.PEER_LOST, f"lost the connection to {event.vm}"
-        )
+        failed = Failed(*call.attempt_key, ErrorKind.PEER_LOST, f"lost {event.vm}")
         return await self._on_failed(call, dispatcher, failed)
 
     def _retry_or_fail(
@@ -370,7 +368,7 @@
 def _settled_error(settled: Settled) -> RequestError:
     """Return the error for a settled state without an answer for the caller."""
     if settled.state is SettledState.STORED:
-        detail = "the answer was interrupted; repeat the request with its key to get all of it"
+        detail = "the answer broke off; repeat the key to get it whole"
         return RequestError(ErrorKind.OUTCOME_UNKNOWN, detail, RunState.RAN)
     return RequestError(SETTLED_KINDS[settled.state], settled.detail)
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
@@ -401,9 +401,7 @@
         return web.Response(status=head.status, body=b"".join(pieces), headers=headers)
 
 
-_STREAM_ABORTED = RequestError(
-    ErrorKind.LEAVING, "the answer was interrupted", run=RunState.UNKNOWN
-)
+_STREAM_ABORTED = RequestError(ErrorKind.LEAVING, "the answer broke off", run=RunState.UNKNOWN)
 
 
 class _RequestScope:
@@ -441,7 +439,7 @@
         call = self.call
         if call is None or not (call.may_have_run or call.link is not None):
             return RequestError(ErrorKind.LEAVING)
-        return RequestError(ErrorKind.OUTCOME_UNKNOWN, "the process has stopped")
+        return RequestError(ErrorKind.OUTCOME_UNKNOWN, "the process has ended")
 
 
 def digest_request(organisation: str, method: str, path: str, body: bytes) -> str:
@@ -495,5 +493,5 @@
         async with asyncio.timeout(BODY_TIMEOUT_S):
             return await request.read()
     except TimeoutError:
-        detail = f"expected the complete body within {BODY_TIMEOUT_S:g} s"
+        detail = f"expected the whole body within {BODY_TIMEOUT_S:g} s"
         raise CallError(RequestError(ErrorKind.BAD_REQUEST, detail)) from None
--- a/packages/burdockquay-transport/src/burdockquay_transport/_engine_client.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_engine_client.py
@@ -182,7 +182,7 @@
             finish_reason = choice.get("finish_reason") or finish_reason
             usage = parsed.get("usage") or usage
     raise UpstreamError(
-        ErrorKind.UPSTREAM_FAILED, "the stream ended before its end marker", sent=True, crashed=True
+        ErrorKind.UPSTREAM_FAILED, "the stream ended too early", sent=True, crashed=True
     )
 
 
@@ -193,6 +193,6 @@
         parsed = json.loads(event[len(_DATA) :])
     except ValueError as error:
         raise UpstreamError(
-            ErrorKind.UPSTREAM_FAILED, "an event of the stream is not valid JSON", sent=True
+            ErrorKind.UPSTREAM_FAILED, "an event of the stream is no JSON", sent=True
         ) from error
     return parsed if isinstance(parsed, dict) else {}
--- a/packages/burdockquay-transport/src/burdockquay_transport/_process.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_process.py
@@ -130,7 +130,7 @@
     async def abort(self) -> None:
         """Stop at once; running requests are aborted, and their callers get an error."""
         self._leaving = True
-        await self._abort_all("the process is stopping immediately")
+        await self._abort_all("the process was told to end at once")
         await self.close()
 
     async def close(self) -> None:
--- a/packages/burdockquay-transport/src/burdockquay_transport/_send_once.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_send_once.py
@@ -33,7 +33,7 @@
             If the request was sent before.
         """
         if self._sent:
-            raise RepeatRefusedError("the connection was lost before the answer")
+            raise RepeatRefusedError("the connection broke before the answer")
         self._sent = True
         return await handler(request)
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
@@ -218,10 +218,7 @@
             if item.takes_work()
         ]
         least = min(backlogs, default=0.0)
-        return (
-            f"{len(self.queue)} other requests are waiting; "
-            f"the least busy upstream has {least:.2f} s of prompts to read"
-        )
+        return f"{len(self.queue)} others wait; the least busy upstream has {least:.2f} s to read"
 
     def record_longest_pause(self, route: ForwardRoute, longest_s: float) -> None:
         """Update the model with the longest pause between two events of a complete answer."""
