--- a/benchmarks/bench_look.py
+++ b/benchmarks/bench_look.py
@@ -43,9 +43,9 @@
         upstream = Upstream(entry)
         for peer in range(PEERS):
             share = LoadShare(BACKLOG // PEERS, 1)
-            upstream.pending.hear(f"p{peer}", share, NOW)
+            upstream.pending.receive_update(f"p{peer}", share, NOW)
         for shared_part in rng.sample(range(SHARED_PARTS), 5):
-            upstream.memory.note(f"part{shared_part}", 9000)
+            upstream.memory.record_read(f"part{shared_part}", 9000)
         found.append(upstream)
     return found
 
--- a/benchmarks/bench_policy.py
+++ b/benchmarks/bench_policy.py
@@ -19,7 +19,7 @@
 import attrs
 
 from burdockquay_coordination.forwarding import (
-    SHORT_SHARE,
+    SHORT_READING_SHARE,
     Demand,
     EngineModel,
     ListedUpstream,
@@ -31,7 +31,7 @@
     UrgencyScale,
     WaitingPrompt,
 )
-from burdockquay_coordination.forwarding._choice import rank_homes
+from burdockquay_coordination.forwarding._choice import rank_preferred_upstreams
 from burdockquay_state import Registry
 
 FETCH_S = 0.008
@@ -176,7 +176,7 @@
     def arrive(self, request: Request, now: float) -> None:
         """Send a new request."""
         by_upstream = {engine.upstream: engine for engine in self.live()}
-        first, second = rank_homes(list(by_upstream), request.prompt.key, 2)
+        first, second = rank_preferred_upstreams(list(by_upstream), request.prompt.key, 2)
         first, second = by_upstream[first], by_upstream[second]
         preferred = second if len(first.queue) >= len(second.queue) + 1.5 else first
         preferred.send(request)
@@ -196,7 +196,9 @@
 
     def arrive(self, request: Request, now: float) -> None:
         """Queue a new request."""
-        demand = Demand(request.prompt, request.target_s, 12.0, SHORT_SHARE * SHORT_TARGET_S)
+        demand = Demand(
+            request.prompt, request.target_s, 12.0, SHORT_READING_SHARE * SHORT_TARGET_S
+        )
         due = request.at + request.target_s
         give_up_at = request.at + MAX_WAIT_S
         self.waiting.add(WaitingPrompt(demand, request.urgency, due, give_up_at, (), request))
@@ -213,7 +215,7 @@
             self.sent[request.id] = SentRequest(now, ahead, placement)
             upstream.pending.add(str(request.id), placement.tokens, now)
             upstream.outstanding += 1
-            upstream.note_sent(request.prompt)
+            upstream.record_sent(request.prompt)
             level = self.scale.level(request.urgency, placement.is_short)
             by_upstream[upstream].send(request, level, by_upstream.get(placement.source))
         self.waiting.take_expired(now)
@@ -224,7 +226,7 @@
         upstream = engine.upstream
         seconds = max(now - sent.at, 0.001)
         placement = sent.placement
-        self.model.learn_first_token(
+        self.model.update_first_token(
             upstream,
             sent.ahead,
             placement.tokens,
@@ -233,7 +235,7 @@
             placement.fetched_tokens,
             placement.is_short,
         )
-        upstream.note_prompt(request.prompt)
+        upstream.record_prompt_read(request.prompt)
         upstream.pending.remove(str(request.id))
         upstream.outstanding -= 1
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
@@ -61,7 +61,7 @@
         self._crashes: list[_Crash] = []
         self._cleared: dict[str, Suspicion] = {}
 
-    def note_crash(self, digests: Sequence[str], now: float) -> list[Suspicion]:
+    def record_crash(self, digests: Sequence[str], now: float) -> list[Suspicion]:
         """Record that an upstream crashed while requests were running.
 
         Parameters
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/__init__.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/__init__.py
@@ -17,22 +17,22 @@
     ServiceShare,
     ServiceTargets,
 )
-from ._config_standing import ConfigStanding
+from ._config_standing import ConfigVersionTracker
 from ._directory import ConfigDirectory, pick_service, request_priority
 from ._engine_model import EngineModel
 from ._freshness import FreshnessLease
 from ._linear import LinearModel, SpeedFactor
-from ._load_relay import LoadNews, LoadRelay, RelayWatch, split_by_domain
+from ._load_relay import LoadRelay, LoadUpdate, RelaySelector, split_by_domain
 from ._losses import LossRate
 from ._mechanisms import Mechanism, Switches
-from ._outcome_ledger import OutcomeLedger, Outcomes, OutcomesByUpstream, add_outcomes
+from ._outcome_ledger import OutcomeRelay, Outcomes, OutcomesByUpstream, add_outcomes
 from ._pending import NO_LOAD, LoadShare, PendingPrompts
 from ._placing import Demand, Placement, place_prompt
-from ._polling import Fit, PollTurn, is_poller
+from ._polling import ChangeContinuity, PollSchedule, is_poller
 from ._prompts import Prompt, PromptMemory
 from ._ranking import rank_processes
 from ._reading import FirstTokenModel
-from ._retry_after import OtherProcesses, return_after_s
+from ._retry_after import PeerAvailability, retry_delay_s
 from ._steady_reservation import SteadyReservation
 from ._store_era import StoreEra
 from ._suspects import CrashSuspects
@@ -40,31 +40,31 @@
     ListedUpstream,
     UnreadableEntry,
     Upstream,
-    UpstreamBook,
     UpstreamChanges,
+    UpstreamRegistry,
 )
-from ._urgency import SHORT_SHARE, UrgencyScale
+from ._urgency import SHORT_READING_SHARE, UrgencyScale
 from ._waiting import PromptQueue, Start, WaitingPrompt
 
 __all__ = [
     "CallerLimits",
     "CallerOrganisation",
     "ConfigDirectory",
-    "ConfigStanding",
+    "ConfigVersionTracker",
     "CrashSuspects",
     "Demand",
-    "LoadNews",
+    "LoadUpdate",
     "LoadRelay",
     "EngineModel",
     "LinearModel",
-    "Fit",
+    "ChangeContinuity",
     "ForwardConfig",
     "ForwardRoute",
     "FreshnessLease",
     "ListedUpstream",
     "LoadShare",
     "SteadyReservation",
-    "OutcomeLedger",
+    "OutcomeRelay",
     "Outcomes",
     "OutcomesByUpstream",
     "add_outcomes",
@@ -72,15 +72,15 @@
     "LossRate",
     "Mechanism",
     "NO_LOAD",
-    "OtherProcesses",
+    "PeerAvailability",
     "Placement",
-    "PollTurn",
+    "PollSchedule",
     "Prompt",
     "PromptMemory",
     "PromptQueue",
     "FirstTokenModel",
     "RetryWindow",
-    "SHORT_SHARE",
+    "SHORT_READING_SHARE",
     "RouteKind",
     "ServiceMemory",
     "ServiceShare",
@@ -91,7 +91,7 @@
     "Switches",
     "UnreadableEntry",
     "Upstream",
-    "UpstreamBook",
+    "UpstreamRegistry",
     "UpstreamChanges",
     "UrgencyScale",
     "WaitingPrompt",
@@ -100,10 +100,10 @@
     "is_poller",
     "place_prompt",
     "rank_processes",
-    "RelayWatch",
+    "RelaySelector",
     "split_by_domain",
     "request_priority",
-    "return_after_s",
+    "retry_delay_s",
     "usable_upstreams",
     "pick_service",
 ]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_budget.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_budget.py
@@ -35,12 +35,12 @@
         self._requests = 0.0
         self._repeats = 0.0
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request of a caller."""
         self._bucket(now)[1] += 1
         self._requests += 1
 
-    def try_repeat(self, now: float) -> bool:
+    def try_retry(self, now: float) -> bool:
         """Count a retry if the budget allows it, and return whether it does."""
         bucket = self._bucket(now)
         if self._repeats + 1 > self.ratio * self._requests + self.burst:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_choice.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_choice.py
@@ -75,17 +75,19 @@
     rejecting all work because every upstream looks unhealthy would turn a small fault into an
     outage.
     """
-    usable = [item for item in upstreams if item.takes_work() and item.id not in tried]
+    usable = [item for item in upstreams if item.accepts_work() and item.id not in tried]
     reached = usable
     if switches.uses(Mechanism.SUSPENSION):
         reached = [item for item in usable if not item.health.suspended(now)]
     healthy = reached
     if switches.uses(Mechanism.FAILURE_SHARE):
-        healthy = [item for item in reached if not item.health.is_grey(now)]
+        healthy = [item for item in reached if not item.health.is_degraded(now)]
     return healthy or reached or usable
 
 
-def rank_homes(candidates: Sequence[Upstream], part: str, count: int) -> list[Upstream]:
+def rank_preferred_upstreams(
+    candidates: Sequence[Upstream], part: str, count: int
+) -> list[Upstream]:
     """Return the first upstreams in rendezvous-hash order of a prompt part.
 
     The order depends on the part and the upstream ids alone. All processes compute the same order
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_config_standing.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_config_standing.py
@@ -16,7 +16,7 @@
 seconds: the configuration that it has just read may have been outdated at the others for long."""
 
 
-class ConfigStanding:
+class ConfigVersionTracker:
     """Compares the version that the platform shows with those in force at all processes.
 
     A store that was restored from a copy may show an older configuration until the operator has
@@ -25,28 +25,28 @@
 
     Examples
     --------
-    >>> standing = ConfigStanding()
-    >>> standing.note_shown(7, now=1.0)
-    >>> standing.note_in_force(9, now=2.0)
+    >>> standing = ConfigVersionTracker()
+    >>> standing.record_shown_version(7, now=1.0)
+    >>> standing.record_version_in_force(9, now=2.0)
     >>> standing.is_behind, standing.behind_s(5.0)
     (True, 3.0)
-    >>> standing.note_shown(9, now=6.0)
+    >>> standing.record_shown_version(9, now=6.0)
     >>> standing.is_behind, standing.behind_s(7.0)
     (False, 0.0)
-    >>> standing.note_held(9, now=1.0)
-    >>> standing.note_in_force(11, now=9.0)
+    >>> standing.record_held_version(9, now=1.0)
+    >>> standing.record_version_in_force(11, now=9.0)
     >>> standing.is_outdated(9.5), standing.is_outdated(10.0)
     (False, True)
 
     A process that has just started, before and after a peer confirms its version:
 
-    >>> standing = ConfigStanding()
-    >>> standing.note_held(7, now=1.0)
-    >>> standing.note_unproven(now=1.0)
-    >>> standing.is_unproven(2.9), standing.is_unproven(3.0)
+    >>> standing = ConfigVersionTracker()
+    >>> standing.record_held_version(7, now=1.0)
+    >>> standing.record_unverified(now=1.0)
+    >>> standing.is_unverified(2.9), standing.is_unverified(3.0)
     (True, False)
-    >>> standing.note_vouched(7, now=1.1)
-    >>> standing.is_unproven(1.2)
+    >>> standing.record_peer_confirmation(7, now=1.1)
+    >>> standing.is_unverified(1.2)
     False
     """
 
@@ -90,7 +90,7 @@
         has_started = self._outdated_since - self._first_held_at >= STARTUP_PERIOD_S
         return now - self._outdated_since >= (READ_NEWER_WAIT_S if has_started else 0.0)
 
-    def is_unproven(self, now: float) -> bool:
+    def is_unverified(self, now: float) -> bool:
         """Return whether the configuration may be an older one without this process knowing.
 
         A process that starts just after the store was restored from a copy may read a configuration
@@ -100,28 +100,28 @@
             return False
         return now < self._unverified_until
 
-    def note_unproven(self, now: float) -> None:
+    def record_unverified(self, now: float) -> None:
         """Record that the first configuration was read from a store restored from a copy."""
         self._unverified_until = now + VERIFICATION_WAIT_S
 
-    def note_vouched(self, version: int, now: float) -> None:
+    def record_peer_confirmation(self, version: int, now: float) -> None:
         """Record the newest version in force according to a peer that has verified it."""
         self._is_verified = True
-        self.note_in_force(version, now)
+        self.record_version_in_force(version, now)
 
-    def note_held(self, version: int, now: float) -> None:
+    def record_held_version(self, version: int, now: float) -> None:
         """Record the version that is in force at this process."""
         self._held_version = version
         if self._first_held_at is None:
             self._first_held_at = now
-        self.note_in_force(version, now)
+        self.record_version_in_force(version, now)
 
-    def note_shown(self, version: int, now: float) -> None:
+    def record_shown_version(self, version: int, now: float) -> None:
         """Record the version that the platform shows."""
         self._shown_version = version
         self._compare(now)
 
-    def note_in_force(self, version: int, now: float) -> None:
+    def record_version_in_force(self, version: int, now: float) -> None:
         """Record a version that is in force at this process or another one."""
         self._newest_version = max(self._newest_version, version)
         self._compare(now)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
@@ -59,7 +59,7 @@
     def __init__(self, switches: Switches = ALL_ON):
         self.switches = switches
         self.processes = 1
-        self.pace = SteadyReservation()
+        self.steady_reservation = SteadyReservation()
         self.first_token = FirstTokenModel(FIRST_S, TOKEN_S)
         self.short_first_token = LinearModel(FIRST_S, TOKEN_S, USUAL_SHORT_TOKENS)
         self.fetch = LinearModel(FETCH_S, FETCH_TOKEN_S, USUAL_TOKENS)
@@ -98,7 +98,7 @@
         event_s = self.event.predict(running) * self._writing_factor(upstream, now)
         return tokens / self.tokens_per_event * event_s
 
-    def learn_first_token(
+    def update_first_token(
         self,
         upstream: Upstream,
         ahead: float,
@@ -146,7 +146,7 @@
     def _first_token_model(self, is_short: bool) -> LinearModel | FirstTokenModel:
         return self.short_first_token if is_short else self.first_token
 
-    def learn_answer(
+    def update_answer(
         self, upstream: Upstream, tokens: int, events: int, seconds: float, now: float
     ) -> None:
         """Update the models with an answer: the events after its first one, and their time."""
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_load_relay.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_load_relay.py
@@ -35,7 +35,7 @@
 Parts = dict[str, dict[str, int]]
 
 
-class RelayWatch:
+class RelaySelector:
     """Chooses the relay that a process sends its loads to, and replaces one that sends nothing.
 
     The connections of a frozen or cut-off process stay open for seconds. No process declares it
@@ -43,7 +43,7 @@
 
     Examples
     --------
-    >>> watch = RelayWatch()
+    >>> watch = RelaySelector()
     >>> [watch.choose(["a", "b"], now) for now in (0.0, 0.25, 0.5, 0.75)]
     ['a', 'a', 'a', 'b']
     """
@@ -54,7 +54,7 @@
         self._received_at = 0.0
         self._avoided_until: dict[str, float] = {}
 
-    def note_heard(self, relay: str, now: float) -> None:
+    def record_relay_message(self, relay: str, now: float) -> None:
         """Record that a message was received from a process as relay."""
         if relay == self._chosen:
             self._received_at = now
@@ -87,7 +87,7 @@
 
 
 @attrs.frozen
-class LoadNews:
+class LoadUpdate:
     """A load update for one process.
 
     Parameters
@@ -132,9 +132,9 @@
     Examples
     --------
     >>> relay = LoadRelay()
-    >>> relay.hear("one", {"u": LoadShare(500, 1)}, now=1.0, is_near=True)
-    >>> relay.hear("two", {"u": LoadShare(100, 2)}, now=1.0, is_near=True)
-    >>> relay.set_targets(near=["one"], far=[])
+    >>> relay.receive_update("one", {"u": LoadShare(500, 1)}, now=1.0, is_near=True)
+    >>> relay.receive_update("two", {"u": LoadShare(100, 2)}, now=1.0, is_near=True)
+    >>> relay.set_recipients(near=["one"], far=[])
     ['one']
     >>> relay.compose("one", now=1.0).shares
     {'u': LoadShare(tokens=100, running=2)}
@@ -144,14 +144,14 @@
         self._sources: dict[str, _Source] = {}
         self._targets: dict[str, _Target] = {}
 
-    def hear(
+    def receive_update(
         self, source: str, shares: Shares, now: float, is_near: bool, is_whole: bool = True
     ) -> None:
         """Apply the loads of a process of this domain, or of the relay of another one."""
         previous = {} if is_whole or source not in self._sources else self._sources[source].shares
         self._sources[source] = _Source({**previous, **shares}, now, is_near)
 
-    def hear_parts(self, source: str, upstream: str, parts: Mapping[str, int]) -> None:
+    def receive_parts(self, source: str, upstream: str, parts: Mapping[str, int]) -> None:
         """Queue the prompt parts that a process reports as read at an upstream."""
         is_near = source in self._sources and self._sources[source].is_near
         for name, target in self._targets.items():
@@ -162,7 +162,7 @@
         """Remove a process that has disconnected."""
         self._sources.pop(source, None)
 
-    def near_sources(self, now: float) -> list[str]:
+    def local_sources(self, now: float) -> list[str]:
         """Return the processes of this domain that send their loads to this one."""
         return [
             name
@@ -170,7 +170,7 @@
             if source.is_near and now - source.at <= PEER_LOAD_EXPIRY_S
         ]
 
-    def set_targets(self, near: Iterable[str], far: Iterable[str]) -> list[str]:
+    def set_recipients(self, near: Iterable[str], far: Iterable[str]) -> list[str]:
         """Set the recipients: processes of this domain, and relays of others.
 
         Returns
@@ -193,7 +193,7 @@
         """Queue prompt parts that were read earlier for one recipient."""
         self._targets[target].parts[upstream] |= parts
 
-    def compose_all(self, now: float) -> dict[str, LoadNews]:
+    def compose_all(self, now: float) -> dict[str, LoadUpdate]:
         """Return the updates that are due now, by recipient."""
         for name in [
             item for item, source in self._sources.items() if now - source.at > PEER_LOAD_EXPIRY_S
@@ -211,7 +211,7 @@
                 composed[name] = update
         return composed
 
-    def compose(self, target: str, now: float) -> LoadNews | None:
+    def compose(self, target: str, now: float) -> LoadUpdate | None:
         """Return the update for one recipient, None if none is due."""
         return self.compose_all(now).get(target)
 
@@ -240,7 +240,7 @@
     return rest
 
 
-def _compose(target: _Target, view: Shares, now: float) -> LoadNews | None:
+def _compose(target: _Target, view: Shares, now: float) -> LoadUpdate | None:
     view = {upstream: share for upstream, share in view.items() if share != NO_LOAD}
     is_whole = now - target.full_sent_at >= FULL_UPDATE_INTERVAL_S
     shares: Shares = view if is_whole else _changed(target.sent, view)
@@ -250,7 +250,7 @@
     is_due = shares or parts or now - target.sent_at >= HEARTBEAT_INTERVAL_S
     if not (is_due or is_whole):
         return None
-    update = LoadNews(is_whole, shares, parts)
+    update = LoadUpdate(is_whole, shares, parts)
     target.sent = view
     target.sent_at = now
     if is_whole:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_losses.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_losses.py
@@ -19,23 +19,23 @@
     Examples
     --------
     >>> losses = LossRate()
-    >>> losses.note("a@1", 10.0)
-    >>> losses.copies_pay(answer_s=2.0, upstreams=5, now=11.0)
+    >>> losses.record_loss("a@1", 10.0)
+    >>> losses.is_copy_worthwhile(answer_s=2.0, upstreams=5, now=11.0)
     True
-    >>> losses.copies_pay(answer_s=2.0, upstreams=5, now=20.0)
+    >>> losses.is_copy_worthwhile(answer_s=2.0, upstreams=5, now=20.0)
     False
     """
 
     def __init__(self):
         self._lost: deque[tuple[str, float]] = deque()
 
-    def note(self, incarnation: str, now: float) -> None:
+    def record_loss(self, incarnation: str, now: float) -> None:
         """Record that an upstream went down; each incarnation counts once."""
         self._forget(now)
         if all(known != incarnation for known, _ in self._lost):
             self._lost.append((incarnation, now))
 
-    def copies_pay(self, answer_s: float, upstreams: int, now: float) -> bool:
+    def is_copy_worthwhile(self, answer_s: float, upstreams: int, now: float) -> bool:
         """Return whether a stream is likely enough to lose its upstream to get a copy.
 
         Parameters
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_outcome_ledger.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_outcome_ledger.py
@@ -43,7 +43,7 @@
 """Outcomes by the incarnation of the upstream."""
 
 
-class OutcomeLedger:
+class OutcomeRelay:
     """Outcomes that are still to be sent, for each recipient process.
 
     Each of many processes sends few requests to each upstream. Alone, each would have to fail there
@@ -52,9 +52,9 @@
 
     Examples
     --------
-    >>> ledger = OutcomeLedger()
-    >>> ledger.set_targets(near=["one", "two"], far=["relay"])
-    >>> ledger.hear("one", {"u": Outcomes(failed=1)}, is_near=True)
+    >>> ledger = OutcomeRelay()
+    >>> ledger.set_recipients(near=["one", "two"], far=["relay"])
+    >>> ledger.receive_update("one", {"u": Outcomes(failed=1)}, is_near=True)
     >>> ledger.has_failures("two"), ledger.has_failures("one")
     (True, False)
     >>> ledger.take("two")["u"].failed, ledger.take("two")
@@ -65,13 +65,13 @@
         self._near: frozenset[str] = frozenset()
         self._unsent: dict[str, dict[str, Outcomes]] = {}
 
-    def set_targets(self, near: Iterable[str], far: Iterable[str]) -> None:
+    def set_recipients(self, near: Iterable[str], far: Iterable[str]) -> None:
         """Set the recipients: processes of this failure domain, and relays of others."""
         self._near = frozenset(near)
         wanted = [*self._near, *far]
         self._unsent = {name: self._unsent.get(name, {}) for name in wanted}
 
-    def hear(self, source: str, outcomes: OutcomesByUpstream, is_near: bool) -> None:
+    def receive_update(self, source: str, outcomes: OutcomesByUpstream, is_near: bool) -> None:
         """Queue the outcomes of a process of this failure domain, or of the relay of another one.
 
         Outcomes from another domain are sent within this one only: the relay of that domain sends
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_pending.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_pending.py
@@ -62,7 +62,7 @@
         tokens, _ = self._own_requests.pop(call, (0, 0.0))
         self._own_tokens -= tokens
 
-    def hear(self, peer: str, share: LoadShare, now: float) -> None:
+    def receive_update(self, peer: str, share: LoadShare, now: float) -> None:
         """Set the load of another process."""
         self._forget(peer)
         if share.tokens or share.running:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_placing.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_placing.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from ._choice import rank_homes, usable_upstreams
+from ._choice import rank_preferred_upstreams, usable_upstreams
 from ._engine_model import EngineModel
 from ._mechanisms import Mechanism
 from ._prompts import Prompt
@@ -99,7 +99,7 @@
         Predicted time from the first token to the end of the answer, seconds.
     tokens : int
         Prompt tokens that must be read for the request.
-    is_warm : bool
+    is_cached : bool
         Whether all shared parts are cached at the upstream or are fetched.
     source : Upstream or None
         The upstream that missing shared parts are fetched from.
@@ -114,7 +114,7 @@
     backlog_s: float
     answer_s: float
     tokens: int
-    is_warm: bool
+    is_cached: bool
     source: Upstream | None = None
     fetched_tokens: int = 0
     is_short: bool = False
@@ -139,7 +139,9 @@
         self._reserved: frozenset[str] = frozenset()
         if model.switches.uses(Mechanism.SET_APART):
             # Healthy or not, all that accept work: the choice must not change with each failure.
-            self._reserved = model.pace.choose([item for item in upstreams if item.takes_work()])
+            self._reserved = model.steady_reservation.choose(
+                [item for item in upstreams if item.accepts_work()]
+            )
 
     def place(self, demand: Demand, tried: Collection[str] = ()) -> Placement | None:
         """Return the best placement of a prompt, None if no upstream may be used.
@@ -189,10 +191,10 @@
         if self._reserved:
             matching = [item for item in usable if self._is_reserved(item) == demand.is_steady]
             mismatched = [item for item in usable if self._is_reserved(item) != demand.is_steady]
-            found = rank_homes(matching, prompt.key, preferred_count)
-            found += rank_homes(mismatched, prompt.key, FALLBACK_CANDIDATES)
+            found = rank_preferred_upstreams(matching, prompt.key, preferred_count)
+            found += rank_preferred_upstreams(mismatched, prompt.key, FALLBACK_CANDIDATES)
         else:
-            found = rank_homes(usable, prompt.key, preferred_count)
+            found = rank_preferred_upstreams(usable, prompt.key, preferred_count)
         for holder in holders[:HOLDER_CANDIDATES]:
             if holder.upstream in usable and holder.upstream not in found:
                 found.append(holder.upstream)
@@ -267,7 +269,7 @@
     held = [
         Holder(item, item.memory.unread(prompt))
         for item in upstreams
-        if item.memory.holds(first) and not item.gone and not item.health.suspended(now)
+        if item.memory.holds(first) and not item.is_removed and not item.health.suspended(now)
     ]
     held = [holder for holder in held if holder.missing < prompt.tokens]
     return sorted(held, key=lambda holder: (holder.missing, holder.upstream.id))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_polling.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_polling.py
@@ -32,7 +32,7 @@
 """Upper limit of reported ages, and the age reported if there was no event, seconds."""
 
 
-class Fit(enum.Enum):
+class ChangeContinuity(enum.Enum):
     """Relation of changes received from a peer to the known revision."""
 
     NEXT = "next"
@@ -43,7 +43,7 @@
     """There are earlier changes that the process does not have."""
 
 
-class PollTurn:
+class PollSchedule:
     """Decides when a process polls the platform for the changes of one table.
 
     If hundreds of processes polled every second or two, almost all calls would return what other
@@ -59,10 +59,10 @@
 
     Examples
     --------
-    >>> turn = PollTurn(random.Random(1))
-    >>> turn.is_poller = False
-    >>> turn.confirm(10.0)
-    >>> turn.is_due(11.0, wait_s=2.0), turn.is_due(13.0, wait_s=2.0)
+    >>> poll_schedule = PollSchedule(random.Random(1))
+    >>> poll_schedule.is_poller = False
+    >>> poll_schedule.confirm(10.0)
+    >>> poll_schedule.is_due(11.0, wait_s=2.0), poll_schedule.is_due(13.0, wait_s=2.0)
     (False, True)
     """
 
@@ -113,7 +113,7 @@
         """
         return wait_s if self.polls(now) and not self._is_failing else 0.0
 
-    def tells(self, now: float, wait_s: float) -> bool:
+    def broadcasts_answer(self, now: float, wait_s: float) -> bool:
         """Return whether the answer to a request that is sent now is broadcast.
 
         After a gap many processes send requests at once, and all receive later changes from
@@ -134,7 +134,7 @@
         """Return the delay before a table is read again after its store was restored, seconds."""
         return 0.0 if self.reads_first(now) else self.rng.uniform(*REREAD_DELAYS_S)
 
-    def judge(self, known: int, after: int, upto: int) -> Fit:
+    def classify_changes(self, known: int, after: int, upto: int) -> ChangeContinuity:
         """Return how changes received from a peer relate to the known revision.
 
         Parameters
@@ -146,12 +146,12 @@
             ``upto``, in the same era of the store.
         """
         if upto <= known:
-            return Fit.KNOWN
+            return ChangeContinuity.KNOWN
         if after > known:
             self._has_gap = True
-            return Fit.GAP
+            return ChangeContinuity.GAP
         self._has_gap = False
-        return Fit.NEXT
+        return ChangeContinuity.NEXT
 
     def confirm(self, as_of: float) -> None:
         """Record a time as of which the process has all changes."""
@@ -167,7 +167,7 @@
             self._record_recovery(as_of)
         self.confirm(as_of)
 
-    def succeed(self, as_of: float, now: float, wait_s: float) -> None:
+    def record_answer(self, as_of: float, now: float, wait_s: float) -> None:
         """Record that the platform answered a request."""
         if not self._has_gap and not self.polls(now) and now >= self._overdue_at(wait_s):
             self._substitutes_until = now + SUBSTITUTE_POLL_S
@@ -182,7 +182,7 @@
             self._failed_at = now
             self._is_failing = False
 
-    def fail(self, now: float) -> None:
+    def record_no_answer(self, now: float) -> None:
         """Record that the platform did not answer a request.
 
         While peers send updates, retrying at once gains nothing.
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_prompts.py
@@ -59,8 +59,8 @@
     --------
     >>> memory = PromptMemory()
     >>> memory.set_capacity(1000)
-    >>> memory.note("a", 600)
-    >>> memory.note("b", 600)
+    >>> memory.record_read("a", 600)
+    >>> memory.record_read("b", 600)
     >>> memory.holds("a"), memory.holds("b")
     (False, True)
     """
@@ -77,7 +77,7 @@
         self._capacity = tokens
         self._evict_over_capacity()
 
-    def note(self, part: str, tokens: int) -> None:
+    def record_read(self, part: str, tokens: int) -> None:
         """Record that a part was read at the upstream, or found in its memory."""
         self._put(part, tokens)
         self._pending_reads.pop(part, None)
@@ -91,7 +91,7 @@
             self._pending_reads[part] = self._pending_reads.get(part, 0) + 1
         self._evict_over_capacity()
 
-    def note_abandoned(self, part: str) -> None:
+    def record_abandoned(self, part: str) -> None:
         """Record that a request ended before it had read a part."""
         if part not in self._pending_reads:
             return
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_retry_after.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_retry_after.py
@@ -22,7 +22,7 @@
 every second."""
 
 
-class OtherProcesses:
+class PeerAvailability:
     """Status of the other processes: whether they can serve callers with API keys.
 
     A process that cannot reach the platform rejects such callers. If others reach it, the next
@@ -33,7 +33,7 @@
     def __init__(self):
         self._statuses: dict[str, tuple[bool, float]] = {}
 
-    def hear(self, peer: str, can_serve: bool, now: float) -> None:
+    def receive_update(self, peer: str, can_serve: bool, now: float) -> None:
         """Record the status of a process."""
         self._statuses[peer] = (can_serve, now)
 
@@ -49,7 +49,7 @@
         )
 
 
-def return_after_s(patience_s: float | None, is_referred: bool, rng: random.Random) -> float:
+def retry_delay_s(patience_s: float | None, is_referred: bool, rng: random.Random) -> float:
     """Return the time after which a rejected caller should retry, seconds.
 
     Parameters
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_steady_reservation.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_steady_reservation.py
@@ -65,7 +65,7 @@
         """Whether upstreams are reserved."""
         return self._other_streams.active or self._steady_streams.active
 
-    def note_demand(self, is_steady: bool, prompt_tokens: int, answer_tokens: int) -> None:
+    def record_demand(self, is_steady: bool, prompt_tokens: int, answer_tokens: int) -> None:
         """Record the work of a request.
 
         Parameters
@@ -80,7 +80,7 @@
         self._all_work = WORK_DECAY * self._all_work + work
         self._steady_work = WORK_DECAY * self._steady_work + (work if is_steady else 0.0)
 
-    def note_pause(self, longest_s: float, limit_s: float, is_steady: bool = False) -> None:
+    def record_pause(self, longest_s: float, limit_s: float, is_steady: bool = False) -> None:
         """Record the longest pause of a stream and the limit for steady streams.
 
         Pauses of other streams indicate that much is read everywhere. Steady streams can be late
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_store_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_store_era.py
@@ -12,9 +12,9 @@
     Examples
     --------
     >>> era = StoreEra()
-    >>> era.note(1, now=5.0), era.note(2, now=9.0), era.note(1, now=9.5)
+    >>> era.record_era(1, now=5.0), era.record_era(2, now=9.0), era.record_era(1, now=9.5)
     (False, True, False)
-    >>> era.newest, era.is_past(1), era.returned_at
+    >>> era.newest, era.is_past(1), era.restored_at
     (2, True, 9.0)
     """
 
@@ -28,7 +28,7 @@
         return self._newest or 0
 
     @property
-    def returned_at(self) -> float:
+    def restored_at(self) -> float:
         """Time at which this process detected the last restoration of the store."""
         return self._restored_at
 
@@ -36,7 +36,7 @@
         """Return whether an era is over."""
         return era < self.newest
 
-    def note(self, era: int, now: float) -> bool:
+    def record_era(self, era: int, now: float) -> bool:
         """Record the era of an answer or message.
 
         Returns
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_suspects.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_suspects.py
@@ -28,11 +28,11 @@
         self._interrupted: dict[str, list[tuple[float, str]]] = {}
         self._crashed: dict[str, tuple[float, frozenset[str]]] = {}
 
-    def note_break(self, digest: str, incarnation: str, now: float) -> None:
+    def record_interruption(self, digest: str, incarnation: str, now: float) -> None:
         """Record that a request was interrupted at an upstream."""
         self._interrupted.setdefault(incarnation, []).append((now, digest))
 
-    def note_down(self, incarnation: str, now: float) -> list[str]:
+    def record_down(self, incarnation: str, now: float) -> list[str]:
         """Record that an upstream is down: it refuses connections, or its entry was deleted.
 
         Returns
@@ -43,10 +43,10 @@
         broken = self._interrupted.pop(incarnation, [])
         digests = [digest for at, digest in broken if now - at <= CRASH_DETECTION_S]
         for digest in digests:
-            self.note_crash(digest, incarnation, now)
+            self.record_crash(digest, incarnation, now)
         return digests
 
-    def note_crash(self, digest: str, incarnation: str, now: float) -> None:
+    def record_crash(self, digest: str, incarnation: str, now: float) -> None:
         """Record that a request was running at an upstream that crashed."""
         _, ids = self._crashed.get(digest, (now, frozenset()))
         self._crashed[digest] = (now, ids | {incarnation})
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
@@ -27,7 +27,7 @@
 the same reason as ``MAX_PEER_FAILURE_SHARE``."""
 MIN_UNREACHABLE_REPORTS = 2
 """Reports of other processes after which an upstream counts as unreachable."""
-UNREACHABLE_MEMORY_S = 0.45
+UNREACHABLE_WINDOW_S = 0.45
 """Time window in which their reports are added up, seconds; shorter than the first suspension, so
 that one process does not count twice."""
 FAILURE_SHARE_HALF_LIFE_S = 4.0
@@ -51,10 +51,10 @@
     Examples
     --------
     >>> health = UpstreamHealth()
-    >>> health.hear_outcomes(Outcomes(failed=2, unreachable=2), now=10.0)
+    >>> health.apply_peer_outcomes(Outcomes(failed=2, unreachable=2), now=10.0)
     >>> health.suspended(10.1)
     True
-    >>> health.note_success(10.2)
+    >>> health.record_success(10.2)
     >>> health.suspended(10.2)
     False
     """
@@ -83,7 +83,7 @@
         """Failure share above which the upstream is degraded."""
         return self._recovery_share if self._was_degraded else DEGRADED_SHARE
 
-    def hear_outcomes(self, outcomes: Outcomes, now: float) -> None:
+    def apply_peer_outcomes(self, outcomes: Outcomes, now: float) -> None:
         """Apply the outcomes of requests of other processes."""
         ended = outcomes.whole + outcomes.failed
         if ended:
@@ -92,7 +92,7 @@
         if outcomes.unreachable:
             self._apply_unreachable_reports(outcomes.unreachable, now)
 
-    def take_untold_outcomes(self) -> Outcomes | None:
+    def take_unsent_outcomes(self) -> Outcomes | None:
         """Return and clear the outcomes that have not been sent to peers yet."""
         unsent, self._unsent_outcomes = self._unsent_outcomes, None
         return unsent
@@ -109,15 +109,15 @@
         """Return the share of recent requests that failed, decayed by the time since the last."""
         return self._failure_share * 0.5 ** ((now - self._seen_at) / FAILURE_SHARE_HALF_LIFE_S)
 
-    def is_grey(self, now: float) -> bool:
+    def is_degraded(self, now: float) -> bool:
         """Return whether the upstream is degraded: it fails too many requests."""
         return self.failure_share(now) > self._degraded_limit
 
     def is_avoided(self, now: float) -> bool:
         """Return whether the upstream is used only if no better one is left."""
-        return self.suspended(now) or self.is_grey(now)
+        return self.suspended(now) or self.is_degraded(now)
 
-    def note_success(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Record a complete answer."""
         self._record_outcome(0.0, now)
         self._add_unsent(Outcomes(whole=1))
@@ -125,12 +125,12 @@
         self._suspend_s = SUSPEND_S
         self._unreachable_reports = 0
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record an answer that failed or broke off."""
         self._record_outcome(1.0, now)
         self._add_unsent(Outcomes(failed=1))
 
-    def note_unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Record a connection that was refused, reset or unresponsive; suspend longer each time."""
         self._record_outcome(1.0, now)
         # Concurrent requests count as one report: this process may be the one that is cut off.
@@ -154,7 +154,7 @@
         A single report may come from a process whose own link is down. An answer to this process
         shows that the upstream is reachable and resets the count.
         """
-        if now - self._unreachable_reported_at > UNREACHABLE_MEMORY_S:
+        if now - self._unreachable_reported_at > UNREACHABLE_WINDOW_S:
             self._unreachable_reports = 0
         self._unreachable_reports += count
         self._unreachable_reported_at = now
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstreams.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstreams.py
@@ -111,9 +111,9 @@
     removed : tuple of str
         Ids whose entries were deleted.
     unreadable : tuple of UnreadableEntry
-    troubled_at : float
+    last_failure_at : float
         Time of the last request for the list that the platform did not answer, at any process.
-    after_return : bool
+    after_restore : bool
         Whether this is the first reading since the store was restored from a copy.
     """
 
@@ -121,8 +121,8 @@
     listed: tuple[ListedUpstream, ...] = ()
     removed: tuple[str, ...] = ()
     unreadable: tuple[UnreadableEntry, ...] = ()
-    troubled_at: float = float("-inf")
-    after_return: bool = False
+    last_failure_at: float = float("-inf")
+    after_restore: bool = False
 
 
 class Upstream:
@@ -140,10 +140,10 @@
         self.outstanding = 0
         self.pending = PendingPrompts()
         self.memory = PromptMemory()
-        self.untold_parts: dict[str, int] = {}
+        self.unsent_parts: dict[str, int] = {}
         self.reading = SpeedFactor()
         self.writing = SpeedFactor()
-        self.gone = False
+        self.is_removed = False
         self.ended = False
         self._run_cancellers: set[Callable[[], None]] = set()
         self.health = UpstreamHealth(spread)
@@ -176,30 +176,30 @@
         """Return whether the upstream runs fewer requests than it can run at once."""
         return self.running(now) < self.entry.places
 
-    def note_sent(self, prompt: Prompt) -> None:
+    def record_sent(self, prompt: Prompt) -> None:
         """Record that a prompt was sent to the upstream."""
         for part, tokens in prompt.parts:
             self.memory.record_pending_read(part, tokens)
 
-    def note_abandoned(self, prompt: Prompt) -> None:
+    def record_abandoned(self, prompt: Prompt) -> None:
         """Record that a request ended at the upstream before its first token."""
         for part, _ in prompt.parts:
-            self.memory.note_abandoned(part)
+            self.memory.record_abandoned(part)
 
-    def note_prompt(self, prompt: Prompt) -> None:
+    def record_prompt_read(self, prompt: Prompt) -> None:
         """Record that a prompt was read at the upstream, and queue its parts for peers."""
         for part, tokens in prompt.parts:
-            self.memory.note(part, tokens)
-            self.untold_parts[part] = tokens
+            self.memory.record_read(part, tokens)
+            self.unsent_parts[part] = tokens
 
-    def take_untold_parts(self) -> dict[str, int]:
+    def take_unsent_parts(self) -> dict[str, int]:
         """Return and clear the parts that have not been sent to peers yet."""
-        unsent, self.untold_parts = self.untold_parts, {}
+        unsent, self.unsent_parts = self.unsent_parts, {}
         return unsent
 
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Return whether new requests may be sent according to the list."""
-        return not (self.gone or self.entry.leaving)
+        return not (self.is_removed or self.entry.leaving)
 
     def add_run(self, end: Callable[[], None]) -> None:
         """Record a running request, with a callback that ends it if the upstream restarts."""
@@ -216,14 +216,14 @@
         link. Without the callbacks, callers would wait until the kernel gives up, seconds later,
         for answers that cannot arrive any more.
         """
-        self.gone = True
+        self.is_removed = True
         self.ended = True
         cancellers, self._run_cancellers = self._run_cancellers, set()
         for end in cancellers:
             end()
 
 
-class UpstreamBook:
+class UpstreamRegistry:
     """All upstreams, by service.
 
     Entries may vanish from the list while the platform's store fails although their upstreams are
@@ -287,7 +287,7 @@
         """Return the upstreams of a service, including those that accept no work."""
         return self._by_service.get(service, [])
 
-    def set_memories(self, memories: Mapping[str, int]) -> None:
+    def set_memory_capacities(self, memories: Mapping[str, int]) -> None:
         """Set how many tokens the upstreams of each service keep in memory.
 
         The default for all is 250,000. If upstreams keep more, parts that are cached are considered
@@ -297,7 +297,7 @@
         for upstream in self._upstreams.values():
             self._set_memory_capacity(upstream)
 
-    def note_trouble(self, now: float) -> None:
+    def record_list_failure(self, now: float) -> None:
         """Record that the list could not be read."""
         self._list_trusted_at = max(self._list_trusted_at, now + RELIST_WAIT_S)
 
@@ -309,7 +309,7 @@
         list of str
             Incarnations that have ended: their entries were deleted, or they restarted.
         """
-        self.note_trouble(changes.troubled_at)
+        self.record_list_failure(changes.last_failure_at)
         ended_incarnations = [
             self._upstreams[id_].incarnation for id_ in changes.removed if id_ in self
         ]
@@ -340,7 +340,7 @@
         for id_ in self._unlisted:
             upstream = self._upstreams.pop(id_, None)
             if upstream is not None:
-                upstream.gone = True
+                upstream.is_removed = True
                 self._by_service[upstream.entry.service].remove(upstream)
                 self._retain_removed(upstream, now)
         self._unlisted.clear()
@@ -362,7 +362,7 @@
 
     def drop(self, upstream: Upstream) -> None:
         """Mark an upstream as removed because its address answered under another id."""
-        upstream.gone = True
+        upstream.is_removed = True
         upstream.health.record_replaced()
 
     def _mark_leaving(self, unreadable: UnreadableEntry) -> None:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_urgency.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_urgency.py
@@ -7,7 +7,7 @@
 URGENCY_LEVELS = 10
 """Number of urgency levels that an upstream distinguishes; level 0 is read first."""
 
-SHORT_SHARE = 0.1
+SHORT_READING_SHARE = 0.1
 """Share of the tightest target of a service up to which the reading time of a prompt is short. Each
 such prompt delays the others by a tenth of the tightest target at most."""
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_waiting.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_waiting.py
@@ -220,7 +220,7 @@
         after a burst.
         """
         waiting = start.waiting
-        is_uncached = self._cached_first and not start.placement.is_warm
+        is_uncached = self._cached_first and not start.placement.is_cached
         return (start.late, start.late_with_backlog, waiting.rank, is_uncached, waiting.target_at)
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_config.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_config.py
@@ -99,9 +99,9 @@
     for pause, is_request in steps:
         now += pause
         if is_request:
-            window.note_request(now)
+            window.record_request(now)
             requests.append(now)
-        elif window.try_repeat(now):
+        elif window.try_retry(now):
             repeats.append(now)
             since = now - 10.0
             # Counts are kept in buckets, so a request may count for one bucket longer.
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_delayed_knowledge.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_delayed_knowledge.py
@@ -14,8 +14,8 @@
     Prompt,
     PromptQueue,
     ServiceTargets,
-    UpstreamBook,
     UpstreamChanges,
+    UpstreamRegistry,
     WaitingPrompt,
 )
 
@@ -73,7 +73,7 @@
             ListedUpstream(f"u{number}", "s", "h", 1, "a", 12, False, 1)
             for number in range(self.size)
         ]
-        book = UpstreamBook()
+        book = UpstreamRegistry()
         book.apply(UpstreamChanges(True, tuple(entries)), 0.0)
         return book
 
@@ -113,7 +113,7 @@
                 others = [received[other][upstream.id] for other in range(self.size) if other != me]
                 tokens = sum(share.tokens for share in others)
                 running = sum(share.running for share in others)
-                upstream.pending.hear("others", LoadShare(tokens, running), self.now)
+                upstream.pending.receive_update("others", LoadShare(tokens, running), self.now)
 
     def _start(self, process):
         queue = self.queues[process]
@@ -144,7 +144,7 @@
         upstream.pending.remove(sent.call)
         upstream.outstanding -= 1
         for book in self.books:
-            book.find(name).note_prompt(sent.prompt)
+            book.find(name).record_prompt_read(sent.prompt)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_load_relay.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_load_relay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from burdockquay_coordination.forwarding import LoadRelay, LoadShare, RelayWatch
+from burdockquay_coordination.forwarding import LoadRelay, LoadShare, RelaySelector
 
 TICK_S = 0.025
 
@@ -25,9 +25,9 @@
         self.now += TICK_S
         for names, relay in zip(self.names, self.relays, strict=True):
             for name in names:
-                relay.hear(name, self.loads[name], self.now, is_near=True)
+                relay.receive_update(name, self.loads[name], self.now, is_near=True)
             others = [item[0] for item in self.names if item is not names]
-            relay.set_targets(names[1:], others)
+            relay.set_recipients(names[1:], others)
         sent = [relay.compose_all(self.now) for relay in self.relays]
         for domain, update in enumerate(sent):
             self.messages += len(update) + len(self.names[domain]) - 1
@@ -37,7 +37,9 @@
     def deliver(self, source, domain, name, update):
         there = int(name.partition("-")[0])
         if there != domain:
-            self.relays[there].hear(source, update.shares, self.now, False, update.is_whole)
+            self.relays[there].receive_update(
+                source, update.shares, self.now, False, update.is_whole
+            )
             return
         view = {} if update.is_whole else self.views[name]
         self.views[name] = {**view, **update.shares}
@@ -80,8 +82,8 @@
 
 def test_only_heartbeats_are_sent_while_nothing_changes():
     relay = LoadRelay()
-    relay.hear("one", {"u": LoadShare(5, 1)}, 0.0, is_near=True)
-    relay.set_targets(["two"], [])
+    relay.receive_update("one", {"u": LoadShare(5, 1)}, 0.0, is_near=True)
+    relay.set_recipients(["two"], [])
     assert relay.compose("two", 0.0).is_whole
     assert relay.compose("two", 0.1) is None
     heartbeat = relay.compose("two", 0.3)
@@ -91,19 +93,19 @@
 def test_loads_of_an_unresponsive_process_expire():
     """A process is cut off; its requests end with it, but its last loads would stay for ever."""
     relay = LoadRelay()
-    relay.hear("silent", {"u": LoadShare(500, 3)}, 0.0, is_near=True)
-    relay.set_targets(["two"], [])
+    relay.receive_update("silent", {"u": LoadShare(500, 3)}, 0.0, is_near=True)
+    relay.set_recipients(["two"], [])
     relay.compose("two", 0.0)
     assert relay.compose("two", 3.0).shares == {}
 
 
 def test_parts_are_sent_once_to_all_but_their_source():
     relay = LoadRelay()
-    relay.set_targets(["one", "two"], ["far"])
-    relay.hear("one", {}, 0.0, is_near=True)
-    relay.hear("domain b", {}, 0.0, is_near=False)
-    relay.hear_parts("one", "u", {"aa": 100})
-    relay.hear_parts("domain b", "u", {"bb": 200})
+    relay.set_recipients(["one", "two"], ["far"])
+    relay.receive_update("one", {}, 0.0, is_near=True)
+    relay.receive_update("domain b", {}, 0.0, is_near=False)
+    relay.receive_parts("one", "u", {"aa": 100})
+    relay.receive_parts("domain b", "u", {"bb": 200})
     received = relay.compose_all(0.0)
     assert {name: dict(update.parts) for name, update in received.items()} == {
         "one": {"u": {"bb": 200}},
@@ -119,14 +121,14 @@
     while now < until - 1e-9:
         now += 0.1
         for name in sending:
-            watch.note_heard(name, now)
+            watch.record_relay_message(name, now)
         chosen = watch.choose(["a", "b"], now)
     return chosen
 
 
 def test_unresponsive_relay_is_replaced_and_retried_later():
     """A relay freezes; its connections stay open, and no process receives loads of the others."""
-    watch = RelayWatch()
+    watch = RelaySelector()
     assert choose_repeatedly(watch, 1.0, sending=["a"]) == "a"
     assert choose_repeatedly(watch, 1.5, now=1.0) == "a"
     assert choose_repeatedly(watch, 2.0, now=1.5, sending=["b"]) == "b"
@@ -140,7 +142,7 @@
     It replaced the relay, received no loads for seconds, and those that it sent meanwhile reached
     no other process.
     """
-    watch = RelayWatch()
+    watch = RelaySelector()
     assert choose_repeatedly(watch, 1.0, sending=["a"]) == "a"
     assert watch.choose(["a", "b"], 2.5) == "a"
     assert choose_repeatedly(watch, 3.0, now=2.5) == "a"
@@ -148,7 +150,7 @@
 
 
 def test_process_that_is_the_relay_never_replaces_itself():
-    watch = RelayWatch()
+    watch = RelaySelector()
     assert watch.choose(["me", "b"], 0.0, "me") == "me"
     assert watch.choose(["me", "b"], 9.0, "me") == "me"
 
@@ -159,11 +161,11 @@
     The update named the upstream without a load, and all other processes considered it idle.
     """
     relay = LoadRelay()
-    relay.hear("one", {"u": LoadShare(500, 2)}, 0.0, is_near=True)
-    relay.set_targets(["two"], [])
+    relay.receive_update("one", {"u": LoadShare(500, 2)}, 0.0, is_near=True)
+    relay.set_recipients(["two"], [])
     relay.compose("two", 0.0)
-    relay.hear("one", {"u": LoadShare(500, 2)}, 0.1, is_near=True)
-    relay.hear_parts("one", "u", {"aa": 100})
+    relay.receive_update("one", {"u": LoadShare(500, 2)}, 0.1, is_near=True)
+    relay.receive_parts("one", "u", {"aa": 100})
     update = relay.compose("two", 0.1)
     assert (update.is_whole, update.shares) == (False, {"u": LoadShare(500, 2)})
 
@@ -176,8 +178,8 @@
     arrived.
     """
     relay = LoadRelay()
-    relay.hear("one", {}, now=1.0, is_near=True)
-    relay.set_targets(near=["one"], far=[])
+    relay.receive_update("one", {}, now=1.0, is_near=True)
+    relay.set_recipients(near=["one"], far=[])
     for upstream in ("u", "v"):
         relay.add_parts("one", upstream, {f"{upstream}{number}": 9 for number in range(450)})
     received = []
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_losses.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_losses.py
@@ -19,12 +19,12 @@
     """
     losses = LossRate()
     for number in range(lost):
-        losses.note(f"u{number}", 0.0)
-    assert losses.copies_pay(answer_s, upstreams, 1.0) == pays
+        losses.record_loss(f"u{number}", 0.0)
+    assert losses.is_copy_worthwhile(answer_s, upstreams, 1.0) == pays
 
 
 def test_repeated_losses_of_one_incarnation_count_once():
     losses = LossRate()
     for _ in range(50):
-        losses.note("u1", 0.0)
-    assert not losses.copies_pay(0.5, 5, 0.1)
+        losses.record_loss("u1", 0.0)
+    assert not losses.is_copy_worthwhile(0.5, 5, 0.1)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_mechanisms.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_mechanisms.py
@@ -48,7 +48,7 @@
 def test_switches_change_while_they_are_in_use(upstreams):
     switches = Switches()
     model = EngineModel(switches)
-    upstreams[0].memory.note("shared", 40_000)
+    upstreams[0].memory.record_read("shared", 40_000)
     upstreams[0].outstanding = 8
     assert place_prompt(upstreams, demand(), model, (), 0.0).source is upstreams[0]
     switches.off = ["fetches"]
@@ -58,11 +58,11 @@
 def test_unhealthy_upstreams_are_left_out_only_by_their_mechanisms(upstreams):
     degraded, unreachable, healthy = upstreams
     for _ in range(8):
-        degraded.health.note_failure(0.0)
-    unreachable.health.note_unreachable(0.0)
+        degraded.health.record_failure(0.0)
+    unreachable.health.record_unreachable(0.0)
     for _ in range(8):
-        unreachable.health.note_success(0.0)
-    unreachable.health.note_unreachable(0.0)
+        unreachable.health.record_success(0.0)
+    unreachable.health.record_unreachable(0.0)
 
     def usable(*off):
         return list(usable_upstreams(upstreams, (), 0.1, Switches(off)))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_polling.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_polling.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from burdockquay_coordination.forwarding import Fit, PollTurn, Switches, is_poller
+from burdockquay_coordination.forwarding import ChangeContinuity, PollSchedule, Switches, is_poller
 
 WAIT_S = 2.0
 
 
 @pytest.fixture
-def turn():
+def poll_schedule():
     """Return the schedule of a process that is no poller and receives updates from peers."""
-    turn = PollTurn(random.Random(1))
-    turn.is_poller = False
-    turn.confirm_by_peer(10.0, 10.0)
-    return turn
+    poll_schedule = PollSchedule(random.Random(1))
+    poll_schedule.is_poller = False
+    poll_schedule.confirm_by_peer(10.0, 10.0)
+    return poll_schedule
 
 
 def test_hundreds_of_processes_have_few_pollers_that_differ_by_table():
@@ -39,93 +39,97 @@
     assert sum(is_poller("t", me, left - {me}) for me in left) == 3
 
 
-def test_process_that_receives_no_updates_polls_by_itself(turn):
+def test_process_that_receives_no_updates_polls_by_itself(poll_schedule):
     """All pollers are cut off from the others, whose connections to them stay open for seconds."""
-    assert not turn.is_due(10.0 + WAIT_S, WAIT_S)
-    assert turn.is_due(10.0 + 1.5 * WAIT_S, WAIT_S)
-    assert turn.hold_s(13.0, WAIT_S) == 0.0, "the answer is needed at once"
+    assert not poll_schedule.is_due(10.0 + WAIT_S, WAIT_S)
+    assert poll_schedule.is_due(10.0 + 1.5 * WAIT_S, WAIT_S)
+    assert poll_schedule.hold_s(13.0, WAIT_S) == 0.0, "the answer is needed at once"
 
 
-def test_process_that_had_to_poll_substitutes_for_lost_pollers(turn):
-    turn.succeed(13.0, 13.0, WAIT_S)
-    assert turn.polls(13.1)
-    turn.confirm_by_peer(23.0, 23.0)
-    assert not turn.polls(23.1), "other processes poll again"
+def test_process_that_had_to_poll_substitutes_for_lost_pollers(poll_schedule):
+    poll_schedule.record_answer(13.0, 13.0, WAIT_S)
+    assert poll_schedule.polls(13.1)
+    poll_schedule.confirm_by_peer(23.0, 23.0)
+    assert not poll_schedule.polls(23.1), "other processes poll again"
 
 
 def test_processes_that_receive_no_updates_do_not_poll_at_the_same_time():
     """Hundreds of processes would poll at the same moment and be rejected as too many."""
     rng = random.Random(1)
-    turns = [PollTurn(rng) for _ in range(100)]
-    for turn in turns:
-        turn.is_poller = False
-        turn.confirm_by_peer(0.0, 0.0)
-    due = sum(turn.is_due(1.25 * WAIT_S, WAIT_S) for turn in turns)
+    turns = [PollSchedule(rng) for _ in range(100)]
+    for poll_schedule in turns:
+        poll_schedule.is_poller = False
+        poll_schedule.confirm_by_peer(0.0, 0.0)
+    due = sum(poll_schedule.is_due(1.25 * WAIT_S, WAIT_S) for poll_schedule in turns)
     assert 0 < due < 50
 
 
-def test_process_requests_missed_changes_at_once(turn):
+def test_process_requests_missed_changes_at_once(poll_schedule):
     """A process connects to a poller just after the poller has broadcast a change."""
-    assert turn.judge(known=5, after=7, upto=9) is Fit.GAP
-    assert turn.is_due(10.0, WAIT_S)
-    assert not turn.tells(10.0, WAIT_S), "each of hundreds would broadcast to all others"
-    turn.succeed(10.0, 10.0, WAIT_S)
-    assert not turn.is_due(10.1, WAIT_S)
-    assert not turn.polls(10.1), "other processes poll and broadcast"
+    assert poll_schedule.classify_changes(known=5, after=7, upto=9) is ChangeContinuity.GAP
+    assert poll_schedule.is_due(10.0, WAIT_S)
+    assert not poll_schedule.broadcasts_answer(
+        10.0, WAIT_S
+    ), "each of hundreds would broadcast to all others"
+    poll_schedule.record_answer(10.0, 10.0, WAIT_S)
+    assert not poll_schedule.is_due(10.1, WAIT_S)
+    assert not poll_schedule.polls(10.1), "other processes poll and broadcast"
 
 
 @pytest.mark.parametrize(
     ("after", "upto", "expected"),
     [
-        (3, 5, Fit.KNOWN),
-        (5, 5, Fit.KNOWN),
-        (3, 8, Fit.NEXT),
-        (5, 8, Fit.NEXT),
-        (6, 8, Fit.GAP),
-        (8, 8, Fit.GAP),
+        (3, 5, ChangeContinuity.KNOWN),
+        (5, 5, ChangeContinuity.KNOWN),
+        (3, 8, ChangeContinuity.NEXT),
+        (5, 8, ChangeContinuity.NEXT),
+        (6, 8, ChangeContinuity.GAP),
+        (8, 8, ChangeContinuity.GAP),
     ],
 )
-def test_changes_are_applied_only_if_there_is_no_gap_before_them(turn, after, upto, expected):
-    assert turn.judge(5, after, upto) is expected
+def test_changes_are_applied_only_if_there_is_no_gap_before_them(
+    poll_schedule, after, upto, expected
+):
+    assert poll_schedule.classify_changes(5, after, upto) is expected
 
 
-def test_rejected_poller_leaves_polling_to_the_others(turn):
+def test_rejected_poller_leaves_polling_to_the_others(poll_schedule):
     """The platform rejects some processes and serves the others.
 
     The rejected ones sent several requests per second, each of them charged, although they received
     the answers from peers.
     """
-    turn.is_poller = True
-    turn.fail(11.0)
-    assert not turn.is_due(11.1, WAIT_S)
-    turn.confirm_by_peer(13.0, 13.0)
-    assert turn.next_due_at(13.0, WAIT_S) == 14.0
-    assert turn.is_due(14.0, WAIT_S), "the platform may answer again by now"
+    poll_schedule.is_poller = True
+    poll_schedule.record_no_answer(11.0)
+    assert not poll_schedule.is_due(11.1, WAIT_S)
+    poll_schedule.confirm_by_peer(13.0, 13.0)
+    assert poll_schedule.next_due_at(13.0, WAIT_S) == 14.0
+    assert poll_schedule.is_due(14.0, WAIT_S), "the platform may answer again by now"
 
 
 def test_process_without_peers_retries_at_once_after_a_failure():
-    turn = PollTurn(random.Random(1))
-    turn.fail(1.0)
-    assert turn.is_due(1.0, WAIT_S)
+    poll_schedule = PollSchedule(random.Random(1))
+    poll_schedule.record_no_answer(1.0)
+    assert poll_schedule.is_due(1.0, WAIT_S)
 
 
-def test_every_process_polls_while_the_mechanism_is_off(turn):
-    turn.switches = Switches(["shared_polls"])
-    assert turn.is_due(10.0, WAIT_S)
-    assert turn.hold_s(10.0, WAIT_S) == WAIT_S
+def test_every_process_polls_while_the_mechanism_is_off(poll_schedule):
+    poll_schedule.switches = Switches(["shared_polls"])
+    assert poll_schedule.is_due(10.0, WAIT_S)
+    assert poll_schedule.hold_s(10.0, WAIT_S) == WAIT_S
 
 
-def test_failure_of_one_process_ends_with_an_update_of_a_peer(turn):
+def test_failure_of_one_process_ends_with_an_update_of_a_peer(poll_schedule):
     """Guards against sending work to removed upstreams while the platform rejects one process."""
-    turn.fail(11.0)
-    turn.confirm_by_peer(11.1, 11.2)
-    turn.succeed(14.0, 14.0, WAIT_S)
-    assert turn.steady_s(14.0) == pytest.approx(2.9)
+    poll_schedule.record_no_answer(11.0)
+    poll_schedule.confirm_by_peer(11.1, 11.2)
+    poll_schedule.record_answer(14.0, 14.0, WAIT_S)
+    assert poll_schedule.steady_s(14.0) == pytest.approx(2.9)
 
 
-def test_old_update_does_not_end_a_failure(turn):
+def test_old_update_does_not_end_a_failure(poll_schedule):
     """Guards against dropping all upstreams whose entries expired in an outage."""
-    turn.fail(11.0)
-    turn.confirm_by_peer(10.9, 11.2)
-    turn.succeed(14.0, 14.0, WAIT_S)
-    assert turn.steady_s(14.0) == 0.0
+    poll_schedule.record_no_answer(11.0)
+    poll_schedule.confirm_by_peer(10.9, 11.2)
+    poll_schedule.record_answer(14.0, 14.0, WAIT_S)
+    assert poll_schedule.steady_s(14.0) == 0.0
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
@@ -69,7 +69,7 @@
     """
     model.fetch = LinearModel(1.0, 1 / 50_000, 5000)
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
-    preferred.note_prompt(long_prompt())
+    preferred.record_prompt_read(long_prompt())
     preferred.pending.add("a", 10_000, 0.0)
     assert place(upstreams, long_prompt(), model, 0.0).upstream is preferred
     preferred.pending.add("b", 40_000, 0.0)
@@ -83,14 +83,14 @@
     few milliseconds, and the request meets its target.
     """
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
-    preferred.note_prompt(long_prompt(0))
+    preferred.record_prompt_read(long_prompt(0))
     preferred.pending.add("a", 20_000, 0.0)
     placement = place(upstreams, long_prompt(3), model, 0.0)
     assert placement.upstream is not preferred
     assert placement.source is preferred
     assert placement.fetched_tokens == 6000, "both shared parts"
     assert placement.tokens == 3000, "only the own part is read"
-    assert placement.is_warm
+    assert placement.is_cached
 
 
 def test_part_is_not_fetched_from_an_upstream_that_has_not_read_it_yet(upstreams, model):
@@ -100,28 +100,28 @@
     engines read the same tokens two to four times, which delayed all requests.
     """
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
-    preferred.note_sent(long_prompt(0))
+    preferred.record_sent(long_prompt(0))
     preferred.pending.add("a", 20_000, 0.0)
     assert place(upstreams, long_prompt(3), model, 0.0).source is None
-    preferred.note_prompt(long_prompt(0))
+    preferred.record_prompt_read(long_prompt(0))
     assert place(upstreams, long_prompt(3), model, 0.0).source is preferred
 
 
 def test_parts_of_requests_that_ended_before_they_were_read_are_not_cached(upstreams):
     preferred = upstreams[0]
-    preferred.note_sent(long_prompt(0))
-    preferred.note_sent(long_prompt(1))
-    preferred.note_abandoned(long_prompt(0))
+    preferred.record_sent(long_prompt(0))
+    preferred.record_sent(long_prompt(1))
+    preferred.record_abandoned(long_prompt(0))
     assert preferred.memory.missing(long_prompt(1)) == 0
-    preferred.note_abandoned(long_prompt(1))
+    preferred.record_abandoned(long_prompt(1))
     assert preferred.memory.missing(long_prompt(1)) == long_prompt(1).tokens
 
 
 def test_parts_that_were_read_stay_when_a_later_request_is_abandoned(upstreams):
     preferred = upstreams[0]
-    preferred.note_prompt(long_prompt(0))
-    preferred.note_sent(long_prompt(0))
-    preferred.note_abandoned(long_prompt(0))
+    preferred.record_prompt_read(long_prompt(0))
+    preferred.record_sent(long_prompt(0))
+    preferred.record_abandoned(long_prompt(0))
     assert preferred.memory.unread(long_prompt(0)) == 0
 
 
@@ -132,11 +132,11 @@
     A request that is to fetch the part from there waits for nothing and then reads it all the same.
     """
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
-    preferred.note_prompt(long_prompt(0))
+    preferred.record_prompt_read(long_prompt(0))
     if lost == "gone":
-        preferred.gone = True
+        preferred.is_removed = True
     else:
-        preferred.health.note_unreachable(0.0)
+        preferred.health.record_unreachable(0.0)
     placement = place(upstreams, long_prompt(3), model, 0.0)
     assert placement.upstream is not preferred
     assert placement.source is None
@@ -146,7 +146,7 @@
 def test_part_is_fetched_from_a_draining_upstream(upstreams, model, make_upstream):
     """If a draining upstream served no fetches, its parts would all have to be read again."""
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
-    preferred.note_prompt(long_prompt(0))
+    preferred.record_prompt_read(long_prompt(0))
     preferred.entry = attrs.evolve(preferred.entry, leaving=True)
     placement = place(upstreams, long_prompt(3), model, 0.0)
     assert placement.upstream is not preferred
@@ -160,14 +160,14 @@
     Only the model can detect this.
     """
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
-    preferred.note_prompt(long_prompt(0))
+    preferred.record_prompt_read(long_prompt(0))
     preferred.pending.add("a", 20_000, 0.0)
     for _ in range(40):
         placement = place(upstreams, long_prompt(3), model, 0.0)
         if placement.source is None:
             break
         reads_all_s = model.first_token_s(placement.upstream, 9000, 0.0)
-        model.learn_first_token(placement.upstream, 0, 3000, reads_all_s, 0.0, 6000)
+        model.update_first_token(placement.upstream, 0, 3000, reads_all_s, 0.0, 6000)
     assert placement.source is None
 
 
@@ -177,7 +177,7 @@
     A process that considered only its own requests would send to a full upstream.
     """
     preferred = place(upstreams, short_prompt(), model, 0.0).upstream
-    preferred.pending.hear("peer", LoadShare(50_000, 9), 0.0)
+    preferred.pending.receive_update("peer", LoadShare(50_000, 9), 0.0)
     assert place(upstreams, short_prompt(), model, 0.1).upstream is not preferred
     assert place(upstreams, short_prompt(), model, 5.0).upstream is preferred
 
@@ -228,7 +228,7 @@
     upstream = make_upstream("a")
     for running in [2, 10, 40] * 50:
         upstream.outstanding = running
-        model.learn_answer(upstream, 306, 50, 50 * (0.02 + 0.001 * running), 0.0)
+        model.update_answer(upstream, 306, 50, 50 * (0.02 + 0.001 * running), 0.0)
     upstream.outstanding = 20
     assert model.answer_s(upstream, 306, 0.0) == pytest.approx(50 * 0.04, rel=0.1)
 
@@ -286,7 +286,7 @@
     take a third of the time.
     """
     cached = upstreams[0]
-    cached.note_prompt(long_prompt(5))
+    cached.record_prompt_read(long_prompt(5))
     queue = PromptQueue()
     queue.add(make_waiting(long_prompt(1), 0.0, urgency=1, target_s=0.5))
     queue.add(make_waiting(long_prompt(2), 0.01, urgency=1, target_s=0.5))
@@ -299,10 +299,10 @@
 def test_least_recently_used_part_is_evicted():
     memory = PromptMemory()
     memory.set_capacity(10_000)
-    memory.note("a", 4000)
-    memory.note("b", 4000)
-    memory.note("a", 4000)
-    memory.note("c", 4000)
+    memory.record_read("a", 4000)
+    memory.record_read("b", 4000)
+    memory.record_read("a", 4000)
+    memory.record_read("c", 4000)
     assert (memory.holds("a"), memory.holds("b"), memory.holds("c")) == (True, False, True)
     assert memory.missing(Prompt((("b", 4000), ("a", 4000), ("new", 100)))) == 8100
     assert memory.missing(Prompt((("a", 4000), ("b", 4000), ("new", 100)))) == 4100
@@ -359,7 +359,7 @@
     """Short prompts overtake others; in the common model they would make reading look fast."""
     before = model.first_token.predict(10_000)
     for _ in range(60):
-        model.learn_first_token(upstreams[0], 0, 700, 0.04, 0.0, is_short=True)
+        model.update_first_token(upstreams[0], 0, 700, 0.04, 0.0, is_short=True)
     assert model.first_token.predict(10_000) == before
     assert model.first_token_s(upstreams[1], 700, 0.0, is_short=True) == pytest.approx(0.04, 0.2)
 
@@ -372,7 +372,7 @@
     """
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
     for upstream in upstreams:
-        upstream.note_prompt(Prompt(long_prompt().parts[:2]))
+        upstream.record_prompt_read(Prompt(long_prompt().parts[:2]))
         upstream.outstanding = 4
     preferred.outstanding = 30
     model.event = LinearModel(0.03, 0.0, 20)
@@ -407,7 +407,7 @@
     """
     queue = PromptQueue()
     for upstream in upstreams:
-        upstream.note_prompt(Prompt(long_prompt().parts[:2]))
+        upstream.record_prompt_read(Prompt(long_prompt().parts[:2]))
         upstream.pending.add("others", 7000, 0.0)
     tight_target, loose_target = make_waiting(long_prompt(), 0.0, 1, 0.19), make_waiting(
         long_prompt(3), 0.0, 1, 0.25
@@ -462,7 +462,7 @@
     rng = random.Random(5)
     for number in range(200):
         own = rng.choice((200, 700, 2500, 4000, 9000))
-        model.learn_first_token(upstreams[0], 0, own, 0.095 + own / 75_000, number * 0.01)
+        model.update_first_token(upstreams[0], 0, own, 0.095 + own / 75_000, number * 0.01)
     assert 0.8 / 75_000 <= model.first_token.slope <= 1.25 / 75_000
 
 
@@ -476,7 +476,7 @@
         ahead = rng.choice((0, 2000, 15_000))
         waited_s = rng.choice((0.0, 0.2, 0.6, 1.5, 2.5))
         seconds = 0.03 + own / 50_000 + waited_s
-        model.learn_first_token(upstreams[number % 3], ahead, own, seconds, number * 0.01)
+        model.update_first_token(upstreams[number % 3], ahead, own, seconds, number * 0.01)
     return model
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_retry_after.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_retry_after.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from burdockquay_coordination.forwarding import OtherProcesses, return_after_s
+from burdockquay_coordination.forwarding import PeerAvailability, retry_delay_s
 
 
 def test_status_of_another_process_expires():
@@ -13,13 +13,13 @@
     If callers were still referred there, they would use up their retries at processes that reject
     them too.
     """
-    others = OtherProcesses()
+    others = PeerAvailability()
     assert not others.can_serve(0.0)
-    others.hear("one", True, 0.0)
-    others.hear("two", False, 0.0)
+    others.receive_update("one", True, 0.0)
+    others.receive_update("two", False, 0.0)
     assert others.can_serve(1.0)
     assert not others.can_serve(5.0)
-    others.hear("one", True, 5.0)
+    others.receive_update("one", True, 5.0)
     others.forget("one")
     assert not others.can_serve(5.0)
 
@@ -32,11 +32,11 @@
     """
     rng = random.Random(1)
     longest = 2.0 if patience_s is None else patience_s / 3
-    times = {return_after_s(patience_s, False, rng) for _ in range(50)}
+    times = {retry_delay_s(patience_s, False, rng) for _ in range(50)}
     assert all(0 <= time <= longest for time in times)
     assert len(times) > 40 or patience_s == 0.0
 
 
 def test_referred_callers_retry_almost_at_once():
     rng = random.Random(1)
-    assert all(return_after_s(12.0, True, rng) <= 0.05 for _ in range(50))
+    assert all(retry_delay_s(12.0, True, rng) <= 0.05 for _ in range(50))
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
@@ -5,10 +5,10 @@
 import pytest
 
 from burdockquay_coordination.forwarding import (
-    OutcomeLedger,
+    OutcomeRelay,
     Outcomes,
-    UpstreamBook,
     UpstreamChanges,
+    UpstreamRegistry,
     choose_upstream,
 )
 
@@ -38,9 +38,9 @@
         self.rng = random.Random(seed)
         self.shares = shares
         self.unreachable = unreachable
-        self.ledger = OutcomeLedger()
-        self.ledger.set_targets(near=map(str, range(PROCESSES)), far=[])
-        self.books = [UpstreamBook(self.rng) for _ in range(PROCESSES)]
+        self.ledger = OutcomeRelay()
+        self.ledger.set_recipients(near=map(str, range(PROCESSES)), far=[])
+        self.books = [UpstreamRegistry(self.rng) for _ in range(PROCESSES)]
         listed = tuple(entry(f"u{number}", 1) for number in range(UPSTREAMS))
         for book in self.books:
             book.apply(UpstreamChanges(True, listed), 0.0)
@@ -58,11 +58,11 @@
         book = self.rng.choice(self.books)
         upstream = choose_upstream(book.of_service("s"), "a", (), now, self.rng)
         if upstream.id not in FAILING:
-            upstream.health.note_success(now)
+            upstream.health.record_success(now)
         elif self.unreachable:
-            upstream.health.note_unreachable(now)
+            upstream.health.record_unreachable(now)
         else:
-            upstream.health.note_failure(now)
+            upstream.health.record_failure(now)
         return upstream.id in FAILING
 
     def _exchange_outcomes(self, now):
@@ -70,13 +70,13 @@
             sent = {
                 upstream.id: outcomes
                 for upstream in book.all()
-                if (outcomes := upstream.health.take_untold_outcomes()) is not None
+                if (outcomes := upstream.health.take_unsent_outcomes()) is not None
             }
-            self.ledger.hear(str(number), sent, is_near=True)
+            self.ledger.receive_update(str(number), sent, is_near=True)
         for number, book in enumerate(self.books):
             for id_, outcomes in self.ledger.take(str(number)).items():
                 if self.shares:
-                    book.find(id_).health.hear_outcomes(outcomes, now)
+                    book.find(id_).health.apply_peer_outcomes(outcomes, now)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -97,17 +97,17 @@
     """A process whose own link is down reports an upstream as unreachable, more than once."""
     cut, other = make_upstream("a"), make_upstream("a")
     for now in (0.0, 0.1, 0.6, 0.7):
-        cut.health.note_unreachable(now)
-        sent = cut.health.take_untold_outcomes()
-        other.health.hear_outcomes(sent, now)
+        cut.health.record_unreachable(now)
+        sent = cut.health.take_unsent_outcomes()
+        other.health.apply_peer_outcomes(sent, now)
         assert not other.health.suspended(now)
 
 
 def test_answer_ends_a_suspension_by_peer_reports(make_upstream):
     upstream = make_upstream("a")
-    upstream.health.hear_outcomes(Outcomes(failed=2, unreachable=2), 0.0)
+    upstream.health.apply_peer_outcomes(Outcomes(failed=2, unreachable=2), 0.0)
     assert upstream.health.suspended(0.1)
-    upstream.health.note_success(0.2)
+    upstream.health.record_success(0.2)
     assert not upstream.health.suspended(0.2)
 
 
@@ -115,8 +115,8 @@
     """All processes together see a few failures of a healthy upstream every second."""
     upstream = make_upstream("a")
     for number in range(200):
-        upstream.health.hear_outcomes(Outcomes(whole=18, failed=2), 0.1 * number)
-        assert not upstream.health.is_grey(0.1 * number)
+        upstream.health.apply_peer_outcomes(Outcomes(whole=18, failed=2), 0.1 * number)
+        assert not upstream.health.is_degraded(0.1 * number)
 
 
 def test_processes_retry_an_upstream_at_different_times():
@@ -125,22 +125,22 @@
     If all retried it at the same moment, as many requests would fail as without shared outcomes.
     """
     rng = random.Random(1)
-    books = [UpstreamBook(rng) for _ in range(20)]
+    books = [UpstreamRegistry(rng) for _ in range(20)]
     returned = []
     for book in books:
         book.apply(UpstreamChanges(True, (entry("a", 1),)), 0.0)
         health = book.of_service("s")[0].health
-        health.hear_outcomes(Outcomes(failed=40), 0.0)
-        returned.append(next(t for t in range(100) if not health.is_grey(0.1 * t)))
+        health.apply_peer_outcomes(Outcomes(failed=40), 0.0)
+        returned.append(next(t for t in range(100) if not health.is_degraded(0.1 * t)))
     assert max(returned) - min(returned) > 10
     assert max(returned) < 40
 
 
 def test_relay_sends_outcomes_of_its_domain_once():
-    ledger = OutcomeLedger()
-    ledger.set_targets(near=["near"], far=["far"])
-    ledger.hear("me", {"u": Outcomes(failed=1)}, is_near=True)
-    ledger.hear("far", {"u": Outcomes(failed=2)}, is_near=False)
+    ledger = OutcomeRelay()
+    ledger.set_recipients(near=["near"], far=["far"])
+    ledger.receive_update("me", {"u": Outcomes(failed=1)}, is_near=True)
+    ledger.receive_update("far", {"u": Outcomes(failed=2)}, is_near=False)
     assert ledger.take("near") == {"u": Outcomes(failed=3)}
     assert ledger.take("far") == {"u": Outcomes(failed=1)}
     assert ledger.take("near") == {}
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_steady_reservation.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_steady_reservation.py
@@ -23,10 +23,10 @@
 def record_burst(reservation, pauses=60, longest_s=LONG_PAUSE_S):
     """Record a burst of long prompts in which a fifth of the work is that of steady streams."""
     for _ in range(pauses):
-        reservation.note_demand(True, 1000, 150)
+        reservation.record_demand(True, 1000, 150)
         for _ in range(2):
-            reservation.note_demand(False, 4000, 100)
-        reservation.note_pause(longest_s, LIMIT_S)
+            reservation.record_demand(False, 4000, 100)
+        reservation.record_pause(longest_s, LIMIT_S)
 
 
 def steady_stream(number=0):
@@ -41,7 +41,7 @@
 
 def place(upstreams, demand, reservation, off=()):
     model = EngineModel(Switches(off))
-    model.pace = reservation
+    model.steady_reservation = reservation
     return place_prompt(upstreams, demand, model, (), 0.0).upstream.id
 
 
@@ -120,17 +120,17 @@
     """
     reservation = SteadyReservation()
     for number in range(40):
-        reservation.note_demand(True, 1000, 150)
-        reservation.note_demand(False, 4000, 100)
-        reservation.note_pause(0.5 * LIMIT_S, LIMIT_S)
-        reservation.note_pause(2 * LIMIT_S if number % 4 == 0 else 0.5 * LIMIT_S, LIMIT_S, True)
+        reservation.record_demand(True, 1000, 150)
+        reservation.record_demand(False, 4000, 100)
+        reservation.record_pause(0.5 * LIMIT_S, LIMIT_S)
+        reservation.record_pause(2 * LIMIT_S if number % 4 == 0 else 0.5 * LIMIT_S, LIMIT_S, True)
     assert reservation.active
     for _ in range(60):
-        reservation.note_pause(0.5 * LIMIT_S, LIMIT_S, True)
+        reservation.record_pause(0.5 * LIMIT_S, LIMIT_S, True)
     assert not reservation.active
 
 
 def test_single_steady_stream_with_a_pause_reserves_nothing():
     reservation = SteadyReservation()
-    reservation.note_pause(2 * LIMIT_S, LIMIT_S, True)
+    reservation.record_pause(2 * LIMIT_S, LIMIT_S, True)
     assert not reservation.active
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
@@ -4,11 +4,11 @@
 import pytest
 
 from burdockquay_coordination.forwarding import (
-    ConfigStanding,
+    ConfigVersionTracker,
     ListedUpstream,
     UnreadableEntry,
-    UpstreamBook,
     UpstreamChanges,
+    UpstreamRegistry,
 )
 from burdockquay_coordination.forwarding._upstreams import (
     RELIST_WAIT_S,
@@ -30,17 +30,17 @@
 
 
 def changed(*listed, removed=()):
-    return UpstreamChanges(False, listed, removed, troubled_at=RETURNED)
+    return UpstreamChanges(False, listed, removed, last_failure_at=RETURNED)
 
 
-def takes_work(book):
-    return [item.id for item in book.of_service("s") if item.takes_work()]
+def accepts_work(book):
+    return [item.id for item in book.of_service("s") if item.accepts_work()]
 
 
 @pytest.fixture
 def book():
     """Return a registry with one upstream that was read in the first era."""
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry(1, 50, 5),)), 0.0)
     return book
 
@@ -49,27 +49,27 @@
     """An upstream starts draining; its revisions began again below the one that is known."""
     book.apply(returned(entry(2, 20, 4)), RETURNED)
     book.apply(changed(entry(2, 30, 6, leaving=True)), RETURNED)
-    assert takes_work(book) == []
+    assert accepts_work(book) == []
 
 
 @pytest.mark.parametrize("sequence", [4, 6])
 def test_old_entry_of_the_copy_does_not_undo_draining(book, sequence):
     book.apply(changed(entry(1, 60, 6, leaving=True)), 90.0)
     book.apply(returned(entry(2, 50, sequence)), RETURNED)
-    assert takes_work(book) == []
+    assert accepts_work(book) == []
     book.apply(changed(entry(2, 70, 8)), RETURNED + 1)
-    assert takes_work(book) == ["a"], "its newer entry counts"
+    assert accepts_work(book) == ["a"], "its newer entry counts"
 
 
 def test_late_entry_of_the_former_era_is_ignored(book):
     book.apply(returned(entry(2, 20, 7, leaving=True)), RETURNED)
     book.apply(changed(entry(1, 90, 8)), RETURNED)
-    assert takes_work(book) == []
+    assert accepts_work(book) == []
 
 
 def test_upstream_with_an_unreadable_row_after_a_restore_gets_no_work(book):
     book.apply(returned(unreadable=(UnreadableEntry("a", 20, 2),)), RETURNED)
-    assert takes_work(book) == []
+    assert accepts_work(book) == []
 
 
 def test_former_incarnation_in_the_copy_does_not_replace_the_present_one(book):
@@ -81,7 +81,7 @@
 @pytest.fixture
 def removed_book():
     """Return a registry whose only upstream was removed before the store was restored."""
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry(1, 50, 5, started_ms=2000),)), 0.0)
     book.apply(UpstreamChanges(False, removed=("a",)), RETURNED - 5)
     return book
@@ -90,18 +90,18 @@
 @pytest.mark.parametrize(("sequence", "started_ms"), [(5, 2000), (4, 2000), (9, 1000)])
 def test_removed_upstream_gets_no_work_from_the_copy(removed_book, sequence, started_ms):
     removed_book.apply(returned(entry(2, 40, sequence, started_ms=started_ms)), RETURNED)
-    assert takes_work(removed_book) == []
+    assert accepts_work(removed_book) == []
     assert list(removed_book.withheld) == ["a"]
     removed_book.apply(changed(removed=("a",)), RETURNED + 3)
     removed_book.settle(RETURNED + WITHHOLD_S)
-    assert takes_work(removed_book) == []
+    assert accepts_work(removed_book) == []
 
 
 @pytest.mark.parametrize(("sequence", "started_ms"), [(6, 2000), (1, 3000)])
 def test_removed_upstream_that_writes_again_gets_work(removed_book, sequence, started_ms):
     removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
     removed_book.apply(changed(entry(2, 70, sequence, started_ms=started_ms)), RETURNED + 1)
-    assert takes_work(removed_book) == ["a"]
+    assert accepts_work(removed_book) == ["a"]
     assert list(removed_book.withheld) == []
 
 
@@ -109,12 +109,12 @@
     """The upstream is alive and had no reason to write more than its entry in the copy holds."""
     removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
     removed_book.settle(RETURNED + WITHHOLD_S)
-    assert takes_work(removed_book) == ["a"]
+    assert accepts_work(removed_book) == ["a"]
 
 
 def test_removed_upstream_listed_in_the_same_era_gets_work_at_once(removed_book):
     removed_book.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RETURNED)
-    assert takes_work(removed_book) == ["a"], "in the same era a listed upstream is available"
+    assert accepts_work(removed_book) == ["a"], "in the same era a listed upstream is available"
     late = RETURNED + 2 * REMOVED_RETENTION_S
     removed_book.apply(UpstreamChanges(False, removed=("a",)), late)
     assert len(removed_book) == 0
@@ -122,9 +122,9 @@
 
 def test_upstream_that_the_copy_lacks_is_kept_until_it_has_had_time_to_write(book):
     book.apply(returned(), RETURNED)
-    assert takes_work(book) == ["a"] and list(book.missing) == ["a"]
+    assert accepts_work(book) == ["a"] and list(book.missing) == ["a"]
     book.settle(RETURNED + RELIST_WAIT_S)
-    assert takes_work(book) == []
+    assert accepts_work(book) == []
 
 
 def test_withheld_upstream_is_released_once(removed_book):
@@ -135,27 +135,27 @@
 
 
 def test_older_configuration_is_behind_until_the_newest_is_shown():
-    standing = ConfigStanding()
-    standing.note_shown(9, 1.0)
-    standing.note_held(9, 1.0)
-    standing.note_shown(7, 5.0)
+    standing = ConfigVersionTracker()
+    standing.record_shown_version(9, 1.0)
+    standing.record_held_version(9, 1.0)
+    standing.record_shown_version(7, 5.0)
     assert standing.is_behind and standing.behind_s(6.0) == 1.0
     assert not standing.is_outdated(60.0), "this process acts on the newest configuration"
-    standing.note_shown(8, 6.0)
+    standing.record_shown_version(8, 6.0)
     assert standing.is_behind
-    standing.note_shown(9, 7.0)
+    standing.record_shown_version(9, 7.0)
     assert not standing.is_behind
 
 
 def test_process_has_time_to_read_a_newer_configuration():
     """A configuration and the message that it is in force arrive by different paths."""
-    standing = ConfigStanding()
-    standing.note_shown(7, 1.0)
-    standing.note_held(7, 1.0)
-    standing.note_in_force(8, 12.0)
+    standing = ConfigVersionTracker()
+    standing.record_shown_version(7, 1.0)
+    standing.record_held_version(7, 1.0)
+    standing.record_version_in_force(8, 12.0)
     assert standing.is_behind and not standing.is_outdated(12.9)
     assert standing.is_outdated(13.0)
-    standing.note_held(8, 13.1)
+    standing.record_held_version(8, 13.1)
     assert not standing.is_outdated(19.0)
 
 
@@ -165,10 +165,10 @@
 
     For a second the process would honour keys that were withdrawn long before it started.
     """
-    standing = ConfigStanding()
-    standing.note_shown(7, 1.0)
+    standing = ConfigVersionTracker()
+    standing.record_shown_version(7, 1.0)
     if told_at < 1.0:
-        standing.note_in_force(8, told_at)
-    standing.note_held(7, 1.0)
-    standing.note_in_force(8, 2.0)
+        standing.record_version_in_force(8, told_at)
+    standing.record_held_version(7, 1.0)
+    standing.record_version_in_force(8, 2.0)
     assert standing.is_outdated(2.0)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_upstreams.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_upstreams.py
@@ -9,8 +9,8 @@
     CrashSuspects,
     ListedUpstream,
     UnreadableEntry,
-    UpstreamBook,
     UpstreamChanges,
+    UpstreamRegistry,
     choose_upstream,
 )
 
@@ -24,12 +24,12 @@
 
 
 def test_unlisted_upstream_is_dropped_at_once_without_failures():
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
     unlisted = book.of_service("s")[0]
     book.apply(UpstreamChanges(False, removed=("a",)), 1.0)
     assert listed(book) == ["b"]
-    assert not unlisted.takes_work()
+    assert not unlisted.accepts_work()
 
 
 def test_upstreams_unlisted_during_a_failure_and_listed_again_are_kept():
@@ -37,9 +37,9 @@
 
     If the upstreams were dropped, every request to the service would be rejected for seconds.
     """
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
-    book.note_trouble(5.0)
+    book.record_list_failure(5.0)
     book.apply(UpstreamChanges(True), 5.5)
     assert listed(book) == ["a", "b"]
     book.apply(UpstreamChanges(False, (entry("a", 2),)), 6.5)
@@ -48,19 +48,19 @@
 
 
 def test_older_version_of_an_entry_is_ignored():
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a", 5, leaving=True),)), 0.0)
     book.apply(UpstreamChanges(False, (entry("a", 4),)), 1.0)
-    assert not book.of_service("s")[0].takes_work()
+    assert not book.of_service("s")[0].accepts_work()
 
 
 def test_unreachable_upstream_is_suspended_longer_each_time_and_recovers(make_upstream):
     upstream = make_upstream("a")
-    upstream.health.note_unreachable(0.0)
+    upstream.health.record_unreachable(0.0)
     assert upstream.health.suspended(0.4) and not upstream.health.suspended(0.6)
-    upstream.health.note_unreachable(0.6)
+    upstream.health.record_unreachable(0.6)
     assert upstream.health.suspended(1.5)
-    upstream.health.note_success(1.6)
+    upstream.health.record_success(1.6)
     assert not upstream.health.suspended(1.6)
 
 
@@ -71,16 +71,16 @@
     """
     degraded, healthy = make_upstream("a"), make_upstream("b")
     for _ in range(6):
-        degraded.health.note_failure(1.0)
+        degraded.health.record_failure(1.0)
     rng = random.Random(1)
     chosen = {choose_upstream([degraded, healthy], "a", (), 1.1, rng).id for _ in range(20)}
     assert chosen == {"b"}
-    assert not degraded.health.is_grey(10.0)
+    assert not degraded.health.is_degraded(10.0)
 
 
 def test_unhealthy_upstream_is_used_when_no_other_is_left(make_upstream):
     only = make_upstream("a")
-    only.health.note_unreachable(0.0)
+    only.health.record_unreachable(0.0)
     assert choose_upstream([only], "a", (), 0.1, random.Random(1)) is only
 
 
@@ -98,12 +98,12 @@
     If every interruption counted, a request that is not the cause would be rejected for a minute.
     """
     suspects = CrashSuspects()
-    suspects.note_break("bystander", "a", 0.0)
-    suspects.note_break("culprit", "b", 0.0)
-    suspects.note_break("bystander", "b", 0.0)
-    suspects.note_down("b", 0.5)
-    suspects.note_break("culprit", "c", 1.0)
-    assert suspects.note_down("c", 1.2) == ["culprit"]
+    suspects.record_interruption("bystander", "a", 0.0)
+    suspects.record_interruption("culprit", "b", 0.0)
+    suspects.record_interruption("bystander", "b", 0.0)
+    suspects.record_down("b", 0.5)
+    suspects.record_interruption("culprit", "c", 1.0)
+    assert suspects.record_down("c", 1.2) == ["culprit"]
     assert suspects.is_refused("culprit", 1.3)
     assert not suspects.is_refused("bystander", 1.3)
     assert not suspects.is_refused("culprit", 70.0)
@@ -111,8 +111,8 @@
 
 def test_crash_detected_late_leads_to_no_suspicion():
     suspects = CrashSuspects()
-    suspects.note_break("digest", "a", 0.0)
-    assert suspects.note_down("a", 10.0) == []
+    suspects.record_interruption("digest", "a", 0.0)
+    assert suspects.record_down("a", 10.0) == []
 
 
 def test_restarted_upstream_begins_without_state():
@@ -121,18 +121,18 @@
     Its memory is empty and its requests are lost. With the old state, requests would be sent there
     for prompt parts that it held before, and the lost ones would count as running for ever.
     """
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a", 1, started_ms=100),)), 0.0)
     former = book.of_service("s")[0]
-    former.memory.note("part", 500)
+    former.memory.record_read("part", 500)
     former.outstanding = 3
     ended = []
     former.add_run(lambda: ended.append("run"))
     over = book.apply(UpstreamChanges(False, (entry("a", 2, started_ms=200),)), 1.0)
     (present,) = book.of_service("s")
     assert over == ["a@100"] and ended == ["run"]
-    assert not former.takes_work() and former.ended
-    assert present.takes_work() and not present.memory.holds("part") and present.running(1.0) == 0
+    assert not former.accepts_work() and former.ended
+    assert present.accepts_work() and not present.memory.holds("part") and present.running(1.0) == 0
 
 
 @pytest.mark.parametrize("revision", [1, 9])
@@ -141,16 +141,16 @@
 
     The present upstream would be mistaken for the former one, which is down.
     """
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a", 5, started_ms=200),)), 0.0)
     late = entry("a", revision, leaving=True, started_ms=100)
     assert book.apply(UpstreamChanges(False, (late,)), 1.0) == []
     (present,) = book.of_service("s")
-    assert present.takes_work() and present.incarnation == "a@200"
+    assert present.accepts_work() and present.incarnation == "a@200"
 
 
 def test_entry_without_a_start_time_belongs_to_the_known_incarnation():
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a", 1, started_ms=100),)), 0.0)
     (known,) = book.of_service("s")
     book.apply(UpstreamChanges(False, (entry("a", 2),)), 1.0)
@@ -158,7 +158,7 @@
 
 
 def test_first_start_time_of_an_entry_begins_a_new_incarnation():
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a", 1),)), 0.0)
     assert book.apply(UpstreamChanges(False, (entry("a", 2, started_ms=100),)), 1.0) == ["a"]
 
@@ -168,7 +168,7 @@
 
     Requests of the former service would still be sent to it.
     """
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a"),)), 0.0)
     book.apply(UpstreamChanges(False, (attrs.evolve(entry("a", 2), service="t"),)), 1.0)
     assert listed(book) == [] and [item.id for item in book.of_service("t")] == ["a"]
@@ -181,18 +181,18 @@
 
     Requests would be sent to an address that may belong to something else by now.
     """
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
     book.apply(UpstreamChanges(False, unreadable=(UnreadableEntry("a", 3),)), 1.0)
-    assert [item.id for item in book.of_service("s") if item.takes_work()] == ["b"]
+    assert [item.id for item in book.of_service("s") if item.accepts_work()] == ["b"]
     book.apply(UpstreamChanges(False, (entry("a", 2),)), 2.0)
-    assert [item.id for item in book.of_service("s") if item.takes_work()] == ["b"]
+    assert [item.id for item in book.of_service("s") if item.accepts_work()] == ["b"]
     book.apply(UpstreamChanges(False, (entry("a", 4),)), 3.0)
-    assert sorted(item.id for item in book.of_service("s") if item.takes_work()) == ["a", "b"]
+    assert sorted(item.id for item in book.of_service("s") if item.accepts_work()) == ["a", "b"]
 
 
 def test_full_list_with_an_unreadable_entry_keeps_its_upstream():
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
     book.apply(UpstreamChanges(True, (entry("b"),), unreadable=(UnreadableEntry("a", 3),)), 1.0)
     assert listed(book) == ["a", "b"]
@@ -205,8 +205,8 @@
     """
     suspects = CrashSuspects()
     for incarnation in ("a@100", "a@200"):
-        suspects.note_break("culprit", incarnation, 1.0)
-        suspects.note_down(incarnation, 1.1)
+        suspects.record_interruption("culprit", incarnation, 1.0)
+        suspects.record_down(incarnation, 1.1)
     assert suspects.is_refused("culprit", 1.2)
 
 
@@ -215,13 +215,13 @@
 
     Cached parts would be considered evicted, and read again elsewhere.
     """
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a"),)), 0.0)
-    book.set_memories({"s": 500_000})
+    book.set_memory_capacities({"s": 500_000})
     book.apply(UpstreamChanges(False, (entry("b"),)), 1.0)
     for upstream in book.of_service("s"):
-        upstream.memory.note("old", 200_000)
-        upstream.memory.note("new", 200_000)
+        upstream.memory.record_read("old", 200_000)
+        upstream.memory.record_read("new", 200_000)
         assert upstream.memory.holds("old")
-    book.set_memories({"s": 300_000})
+    book.set_memory_capacities({"s": 300_000})
     assert not book.of_service("s")[0].memory.holds("old")
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_quarantine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_quarantine.py
@@ -20,32 +20,32 @@
 
     Without quarantine it would crash one upstream after the other, and the requests beside it.
     """
-    book.note_crash(["poison", "a", "b"], 0.0)
+    book.record_crash(["poison", "a", "b"], 0.0)
     assert verdicts(book, ["poison", "a", "b", "c"]) == ["suspect"] * 3 + ["clear"]
-    book.note_crash(["poison", "c"], 1.0)
+    book.record_crash(["poison", "c"], 1.0)
     assert verdicts(book, ["poison", "a", "b", "c"]) == ["quarantined", "clear", "clear", "clear"]
 
 
 def test_third_crash_decides_between_two_suspects_that_ran_together(book):
-    book.note_crash(["poison", "a"], 0.0)
-    book.note_crash(["poison", "a"], 1.0)
+    book.record_crash(["poison", "a"], 0.0)
+    book.record_crash(["poison", "a"], 1.0)
     assert verdicts(book, ["poison", "a"]) == ["suspect", "suspect"]
-    book.note_crash(["poison", "b"], 2.0)
+    book.record_crash(["poison", "b"], 2.0)
     assert verdicts(book, ["poison", "a", "b"]) == ["quarantined", "clear", "clear"]
 
 
 def test_wrongly_quarantined_request_is_cleared_when_the_cause_is_found(book):
     """An innocent request runs beside each of two bad requests when they crash an upstream."""
-    book.note_crash(["first", "innocent"], 0.0)
-    book.note_crash(["second", "innocent"], 1.0)
+    book.record_crash(["first", "innocent"], 0.0)
+    book.record_crash(["second", "innocent"], 1.0)
     assert book.verdict("innocent", 1.0) is Verdict.QUARANTINED
-    book.note_crash(["first"], 2.0)
-    book.note_crash(["first"], 3.0)
+    book.record_crash(["first"], 2.0)
+    book.record_crash(["first"], 3.0)
     assert verdicts(book, ["first", "innocent"], 3.0) == ["quarantined", "suspect"]
 
 
 def test_completed_request_is_cleared(book):
-    book.note_crash(["poison", "a"], 0.0)
+    book.record_crash(["poison", "a"], 0.0)
     report = book.suspicions(0.0)
     book.note_finished("a", 1.0)
     assert book.merge(report, 1.0) == []
@@ -53,13 +53,13 @@
 
 
 def test_suspicions_expire_and_can_be_withdrawn(book):
-    book.note_crash(["poison"], 0.0)
-    book.note_crash(["poison"], 50.0)
+    book.record_crash(["poison"], 0.0)
+    book.record_crash(["poison"], 50.0)
     assert book.verdict("poison", 149.0) is Verdict.QUARANTINED
     assert book.verdict("poison", 150.0) is Verdict.CLEAR
     assert book.suspicions(150.0) == []
-    book.note_crash(["poison"], 200.0)
-    book.note_crash(["poison"], 201.0)
+    book.record_crash(["poison"], 200.0)
+    book.record_crash(["poison"], 201.0)
     report = book.suspicions(201.0)
     book.withdraw("poison", 202.0)
     assert book.merge(report, 203.0) == []
@@ -67,7 +67,7 @@
 
 
 def test_merge_keeps_the_larger_counts_and_returns_changes(book):
-    book.note_crash(["poison"], 0.0)
+    book.record_crash(["poison"], 0.0)
     assert book.merge([Suspicion("poison", 1, 1, 100.0)], 0.0) == []
     assert book.merge([Suspicion("old", 2, 1, 0.0)], 0.0) == []
     worse = Suspicion("poison", 2, 1, 90.0)
@@ -95,7 +95,7 @@
             names = [name for name in names if book.verdict(name, turn) is Verdict.CLEAR]
         suspects = [name for name in names if book.verdict(name, turn) is Verdict.SUSPECT]
         alone += not suspects and (turn > 0 or not names)
-        book.note_crash(["poison", *names], float(turn))
+        book.record_crash(["poison", *names], float(turn))
         assert all(
             book.verdict(f"d{number}", turn) is not Verdict.QUARANTINED for number in range(10)
         )
--- a/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
@@ -77,7 +77,7 @@
         The peers must receive this before the failures of their attempts. They retry immediately
         on a failure, and would otherwise run a dangerous request beside others again.
         """
-        added = self.book.note_crash(digests, self.clock.wall())
+        added = self.book.record_crash(digests, self.clock.wall())
         self._broadcast(added)
         return added
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_answers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_answers.py
@@ -77,7 +77,7 @@
             headers=pass_on_headers(response.headers),
         )
         if response.status < 500 and response.status not in NOT_RUN_STATUSES:
-            upstream.health.note_success(self.state.clock.now())
+            upstream.health.record_success(self.state.clock.now())
             return Answered(ready)
         if response.status in NOT_RUN_STATUSES:
             # The caller would conclude that the request has not run.
@@ -122,7 +122,7 @@
             self.state.dispatcher(call.service).record_longest_pause(
                 call.route, call.longest_pause_s
             )
-        upstream.health.note_success(self.state.clock.now())
+        upstream.health.record_success(self.state.clock.now())
         return Answered(call.answer)
 
     async def _forward_events(
@@ -171,7 +171,7 @@
     """
     call.maybe_run = True
     if crashed:
-        state.suspects.note_break(call.digest, upstream.incarnation, state.clock.now())
+        state.suspects.record_interruption(call.digest, upstream.incarnation, state.clock.now())
     return Broke(upstream, reason, crashed=crashed)
 
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
@@ -8,7 +8,7 @@
 import attrs
 
 from burdockquay_coordination.forwarding import (
-    SHORT_SHARE,
+    SHORT_READING_SHARE,
     Demand,
     EngineModel,
     ForwardRoute,
@@ -18,7 +18,7 @@
     ServiceTargets,
     Switches,
     Upstream,
-    UpstreamBook,
+    UpstreamRegistry,
     WaitingPrompt,
     place_prompt,
 )
@@ -55,7 +55,7 @@
     Parameters
     ----------
     service : str
-    book : UpstreamBook
+    book : UpstreamRegistry
     clock : Clock
     targets : callable
         Returns the current latency targets of the routes to the service.
@@ -67,7 +67,7 @@
     def __init__(
         self,
         service: str,
-        book: UpstreamBook,
+        book: UpstreamRegistry,
         clock: Clock,
         targets: Callable[[], ServiceTargets],
         record_prediction_ratio: Callable[[float], None],
@@ -97,7 +97,7 @@
             return self._send_immediately(call)
         waiting = self._make_waiting(call)
         prompt = call.request.prompt
-        self.model.pace.note_demand(
+        self.model.steady_reservation.record_demand(
             waiting.demand.is_steady, prompt.own_tokens, prompt.answer_tokens
         )
         self.queue.add(waiting)
@@ -128,7 +128,7 @@
             seconds=seconds,
             ahead=sent.ahead,
             tokens=sent.placement.tokens,
-            warm=sent.placement.is_warm,
+            warm=sent.placement.is_cached,
             short=sent.placement.is_short,
             fetched=sent.placement.fetched_tokens,
             fetch_s=self.model.fetch_s(sent.placement.fetched_tokens),
@@ -139,19 +139,19 @@
         )
         self.record_prediction_ratio(seconds / sent.placement.first_token_s)
         tokens, fetched = sent.placement.tokens, sent.placement.fetched_tokens
-        self.model.learn_first_token(
+        self.model.update_first_token(
             upstream, sent.ahead, tokens, seconds, now, fetched, sent.placement.is_short
         )
-        upstream.note_prompt(sent.prompt)
+        upstream.record_prompt_read(sent.prompt)
         self._remove(sent)
 
     def record_pace(self, upstream: Upstream, tokens: int, events: int, seconds: float) -> None:
         """Update the model with the pace of a complete answer after its first event."""
-        self.model.learn_answer(upstream, tokens, events, seconds, self.clock.now())
+        self.model.update_answer(upstream, tokens, events, seconds, self.clock.now())
 
     def record_ended(self, sent: SentPrompt) -> None:
         """Record that a request ended before its first token."""
-        sent.placement.upstream.note_abandoned(sent.prompt)
+        sent.placement.upstream.record_abandoned(sent.prompt)
         self._remove(sent)
 
     def _remove(self, sent: SentPrompt) -> None:
@@ -215,7 +215,7 @@
         backlogs = [
             self.model.reading_s(item, item.pending.tokens(now), now)
             for item in self._upstreams()
-            if item.takes_work()
+            if item.accepts_work()
         ]
         least = min(backlogs, default=0.0)
         return f"{len(self.queue)} others wait; the least busy upstream has {least:.2f} s to read"
@@ -225,7 +225,9 @@
         targets = self.targets()
         if targets.shortest_pause_s is not None:
             is_steady = targets.is_steady(route)
-            self.model.pace.note_pause(longest_s, targets.shortest_pause_s, is_steady)
+            self.model.steady_reservation.record_pause(
+                longest_s, targets.shortest_pause_s, is_steady
+            )
 
     def _make_waiting(self, call: ForwardCall) -> WaitingPrompt:
         silence = call.route.silence_s or call.route.timeout_s
@@ -243,7 +245,7 @@
 
     def _make_demand(self, call: ForwardCall) -> Demand:
         uses_short = self.model.switches.uses(Mechanism.SHORT_FIRST)
-        short_s = SHORT_SHARE * self.targets().tightest_s if uses_short else 0.0
+        short_s = SHORT_READING_SHARE * self.targets().tightest_s if uses_short else 0.0
         patience_s = call.deadline - call.started
         is_steady = self.targets().is_steady(call.route)
         return Demand(call.request.prompt, call.route.target_s, patience_s, short_s, is_steady)
@@ -265,7 +267,7 @@
         prompt = call.request.prompt
         sent = SentPrompt(call.request.id, prompt, placement, ahead, now)
         upstream.pending.add(sent.call, placement.tokens, now)
-        upstream.note_sent(prompt)
+        upstream.record_sent(prompt)
         return sent
 
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
@@ -6,7 +6,7 @@
 
 from result import Err
 
-from burdockquay_coordination.forwarding import ForwardConfig, UpstreamBook, UpstreamChanges
+from burdockquay_coordination.forwarding import ForwardConfig, UpstreamChanges, UpstreamRegistry
 from burdockquay_state import TableError
 
 from .._events import Event, log_event
@@ -83,9 +83,9 @@
 
 def _apply_configuration(state: ForwarderState, config: ForwardConfig, as_of: float) -> None:
     now = state.clock.now()
-    state.standing.note_shown(config.version, now)
+    state.standing.record_shown_version(config.version, now)
     if state.directory is None and state.platform.exchange.era.newest > FIRST_ERA:
-        state.standing.note_unproven(now)
+        state.standing.record_unverified(now)
     if state.apply(config):
         log_event(
             Event.CONFIGURATION_APPLIED,
@@ -111,7 +111,7 @@
         read = await source.next(UPSTREAMS_LONG_POLL_S)
         now = state.clock.now()
         if isinstance(read, Err):
-            state.book.note_trouble(now)
+            state.book.record_list_failure(now)
             await backoff.after_failure(read.err())
             continue
         backoff.record_success()
@@ -120,7 +120,7 @@
         state.record_read("upstreams")
         for incarnation in ended:
             state.record_down(incarnation)
-        if changes.after_return:
+        if changes.after_restore:
             _log_kept(state.book, changes)
         if changes.listed or changes.removed or changes.unreadable:
             log_event(
@@ -135,7 +135,7 @@
             await asyncio.sleep(BATCH_PAUSE_S)
 
 
-def _log_kept(book: UpstreamBook, changes: UpstreamChanges) -> None:
+def _log_kept(book: UpstreamRegistry, changes: UpstreamChanges) -> None:
     """Log which known entries are kept although a store restored from a copy differs."""
     listed = {entry.id for entry in changes.listed if not entry.leaving}
     leaving = [item.id for item in book.all() if item.entry.leaving and item.id in listed]
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
@@ -11,12 +11,12 @@
 
 from burdockquay_coordination.forwarding import (
     NO_LOAD,
-    LoadNews,
     LoadRelay,
     LoadShare,
+    LoadUpdate,
     Mechanism,
-    RelayWatch,
-    UpstreamBook,
+    RelaySelector,
+    UpstreamRegistry,
     rank_processes,
     split_by_domain,
 )
@@ -119,8 +119,8 @@
         self._ranked: list[str] = [identity.incarnation]
         self._ranked_far: dict[str, list[str]] = {}
         self._legacy_peers: list[PeerConnection] = []
-        self._near_watch = RelayWatch()
-        self._far_watches: dict[str, RelayWatch] = defaultdict(RelayWatch)
+        self._near_watch = RelaySelector()
+        self._far_watches: dict[str, RelaySelector] = defaultdict(RelaySelector)
         self._chosen: str | None = None
         self._near: list[str] = []
         self._received_at = float("-inf")
@@ -181,9 +181,9 @@
         self._choose_relay(now)
         self._choose_targets(now)
         loads = [
-            _make_load(upstream.incarnation, upstream.share(), upstream.take_untold_parts())
+            _make_load(upstream.incarnation, upstream.share(), upstream.take_unsent_parts())
             for upstream in self.state.book.all()
-            if upstream.outstanding or upstream.untold_parts
+            if upstream.outstanding or upstream.unsent_parts
         ]
         self._recent_parts.extend((now, load) for load in loads if load.parts)
         self._receive_for_relaying(self.identity.incarnation, loads, now)
@@ -207,17 +207,17 @@
     def receive_domain(self, peer: PeerConnection, message: LoadsOfDomain) -> None:
         """Apply the loads of another failure domain."""
         now = self.state.clock.now()
-        self._far_watches[message.domain].note_heard(peer.peer.incarnation, now)
+        self._far_watches[message.domain].record_relay_message(peer.peer.incarnation, now)
         source = f"domain {message.domain}"
         shares = {load.upstream: _load_share(load) for load in message.loads}
-        self.relay.hear(source, shares, now, False, message.is_whole)
+        self.relay.receive_update(source, shares, now, False, message.is_whole)
         self._receive_parts(source, message.loads)
         if self.is_relay:
             self._apply(source, message.loads, message.is_whole)
 
     def receive_elsewhere(self, peer: PeerConnection, message: LoadsElsewhere) -> None:
         """Apply the loads of all other processes as added up by a relay."""
-        self._near_watch.note_heard(peer.peer.incarnation, self.state.clock.now())
+        self._near_watch.record_relay_message(peer.peer.incarnation, self.state.clock.now())
         if peer.peer.incarnation == self._chosen:
             self._apply(ELSEWHERE, message.loads, message.is_whole)
 
@@ -239,18 +239,18 @@
         for at, load in self._recent_parts:
             upstream = self.state.book.find(load.upstream)
             if upstream is not None and now - at <= RECENT_PARTS_S:
-                upstream.untold_parts |= {part.id: part.tokens for part in load.parts}
+                upstream.unsent_parts |= {part.id: part.tokens for part in load.parts}
 
     def _receive_for_relaying(self, source: str, loads: list[UpstreamLoad], now: float) -> None:
         shares = {load.upstream: _load_share(load) for load in loads}
-        self.relay.hear(source, shares, now, is_near=True)
+        self.relay.receive_update(source, shares, now, is_near=True)
         self._receive_parts(source, loads)
 
     def _receive_parts(self, source: str, loads: Iterable[UpstreamLoad]) -> None:
         for load in loads:
             if load.parts:
                 parts = {part.id: part.tokens for part in load.parts}
-                self.relay.hear_parts(source, load.upstream, parts)
+                self.relay.receive_parts(source, load.upstream, parts)
                 self._queue_parts_for_relay(source, load.upstream, parts)
 
     def _queue_parts_for_relay(
@@ -263,21 +263,21 @@
         """
         upstream = self.state.book.find(incarnation)
         if upstream is not None and not self.is_relay and source != self.identity.incarnation:
-            upstream.untold_parts |= parts
+            upstream.unsent_parts |= parts
             for part, tokens in parts.items():
-                upstream.memory.note(part, tokens)
+                upstream.memory.record_read(part, tokens)
 
     def _choose_targets(self, now: float) -> None:
         """Find the processes that use this one as relay, and the relays of the other domains."""
         me = self.identity.incarnation
-        near = [name for name in self.relay.near_sources(now) if name != me]
+        near = [name for name in self.relay.local_sources(now) if name != me]
         far = []
         if self.is_relay:
             for domain, ranked in self._ranked_far.items():
                 far.append(self._far_watches[domain].choose(ranked, now))
         self._near = near
         self._far = far
-        for name in self.relay.set_targets(near, far):
+        for name in self.relay.set_recipients(near, far):
             if now - self._connected_at.get(name, now) < NEW_PEER_S:
                 self._queue_known_parts(name, now)
 
@@ -300,7 +300,7 @@
             if parts:
                 self.relay.add_parts(target, upstream.incarnation, parts)
 
-    def _message(self, changes: LoadNews, is_far: bool) -> LoadsOfDomain | LoadsElsewhere:
+    def _message(self, changes: LoadUpdate, is_far: bool) -> LoadsOfDomain | LoadsElsewhere:
         loads = [
             _make_load(name, share, changes.parts.get(name, {}))
             for name, share in changes.shares.items()
@@ -328,20 +328,20 @@
 
 
 def _apply_share(
-    book: UpstreamBook, incarnation: str, source: str, share: LoadShare, now: float
+    book: UpstreamRegistry, incarnation: str, source: str, share: LoadShare, now: float
 ) -> None:
     # Processes receive the restart of an upstream at different times. Loads of another incarnation
     # than the one known here do not belong to it.
     upstream = book.find(incarnation)
     if upstream is not None:
-        upstream.pending.hear(source, share, now)
+        upstream.pending.receive_update(source, share, now)
 
 
-def _record_parts(book: UpstreamBook, loads: Iterable[UpstreamLoad]) -> None:
+def _record_parts(book: UpstreamRegistry, loads: Iterable[UpstreamLoad]) -> None:
     for load in loads:
         upstream = book.find(load.upstream) if load.parts else None
         for part in load.parts if upstream is not None else ():
-            upstream.memory.note(part.id, part.tokens)
+            upstream.memory.record_read(part.id, part.tokens)
 
 
 def _load_share(load: UpstreamLoad) -> LoadShare:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_member_book.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_member_book.py
@@ -35,7 +35,7 @@
     >>> first = Member("a", "a1", "10.0.0.1:7200")
     >>> sorted(book.apply(MemberChanges(True, (first,)), now=0.0))
     ['a']
-    >>> book.apply(MemberChanges(True, after_return=True), now=5.0), len(book)
+    >>> book.apply(MemberChanges(True, after_restore=True), now=5.0), len(book)
     (set(), 1)
     >>> book.apply(MemberChanges(False), now=9.5), len(book)
     ({'a'}, 0)
@@ -62,7 +62,7 @@
         """
         before = dict(self._members)
         listed = {member.vm: member for member in changes.listed}
-        if changes.after_return:
+        if changes.after_restore:
             self._apply_copy(listed, now)
         else:
             removed = set(changes.removed)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_outcome_sharing.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_outcome_sharing.py
@@ -6,7 +6,7 @@
 
 from burdockquay_coordination.forwarding import (
     Mechanism,
-    OutcomeLedger,
+    OutcomeRelay,
     Outcomes,
     OutcomesByUpstream,
     Upstream,
@@ -39,7 +39,7 @@
         self.state = state
         self.identity = identity
         self.post = post
-        self._ledger = OutcomeLedger()
+        self._ledger = OutcomeRelay()
         self._unsent_own: dict[str, Outcomes] = {}
         self._sent_at = float("-inf")
 
@@ -49,7 +49,7 @@
         is_due = now - self._sent_at >= SUCCESS_INTERVAL_S
         if is_due:
             self._sent_at = now
-        self._ledger.set_targets(targets.near, targets.far)
+        self._ledger.set_recipients(targets.near, targets.far)
         self._send_own(targets.relay, is_due)
         for name, peer in {**targets.near, **targets.far}.items():
             if is_due or self._ledger.has_failures(name):
@@ -59,7 +59,7 @@
         """Apply the outcomes of requests of others."""
         received = {item.upstream: _decode(item) for item in message.outcomes}
         is_near = peer.peer.failure_domain == self.identity.failure_domain
-        self._ledger.hear(peer.peer.incarnation, received, is_near)
+        self._ledger.receive_update(peer.peer.incarnation, received, is_near)
         if not self.state.switches.uses(Mechanism.SHARED_OUTCOMES):
             return
         now = self.state.clock.now()
@@ -72,9 +72,9 @@
         new = {
             upstream.incarnation: outcomes
             for upstream in self.state.book.all()
-            if (outcomes := upstream.health.take_untold_outcomes()) is not None
+            if (outcomes := upstream.health.take_unsent_outcomes()) is not None
         }
-        self._ledger.hear(self.identity.incarnation, new, is_near=True)
+        self._ledger.receive_update(self.identity.incarnation, new, is_near=True)
         add_outcomes(self._unsent_own, new)
         if is_due or any(outcomes.failed for outcomes in self._unsent_own.values()):
             own, self._unsent_own = self._unsent_own, {}
@@ -90,7 +90,7 @@
 def _apply_outcomes(upstream: Upstream, outcomes: Outcomes, now: float) -> None:
     health = upstream.health
     was_avoided = health.is_avoided(now)
-    health.hear_outcomes(outcomes, now)
+    health.apply_peer_outcomes(outcomes, now)
     if health.is_avoided(now) and not was_avoided:
         log_event(
             Event.UPSTREAM_AVOIDED,
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
@@ -217,7 +217,7 @@
                 continue
             self._apply_members(read.ok())
             # The store may also have been restored between joining and the first reading.
-            if read.ok().after_return or not has_read:
+            if read.ok().after_restore or not has_read:
                 self._start_rejoining(read.ok())
             has_read = True
             await self._pause(MEMBERS_BATCH_PAUSE_S)
@@ -237,7 +237,7 @@
     def _start_rejoining(self, changes: MemberChanges) -> None:
         shown = next((member for member in changes.listed if member.vm == self._me.vm), None)
         is_registered = shown is not None and shown.incarnation == self._me.incarnation
-        if is_registered and not changes.after_return:
+        if is_registered and not changes.after_restore:
             return
         self._stop_rejoining()
         self._rejoining = asyncio.create_task(self._rejoin(self._me, shown))
@@ -370,7 +370,7 @@
         if self._key_repeater.is_due(honoured, now):
             post_all(self._key_status_recipients, KeysHonoured(honoured))
         standing = self.state.standing
-        newest = 0 if standing.is_unproven(now) else standing.newest
+        newest = 0 if standing.is_unverified(now) else standing.newest
         if newest and self._configuration_repeater.is_due(newest, now):
             post_all(self._key_status_recipients, NewestConfiguration(newest))
 
@@ -390,20 +390,22 @@
             post_all(former, message.without_era())
 
     def _receive_keys(self, peer: PeerConnection, message: KeysHonoured) -> None:
-        self.state.others.hear(peer.peer.incarnation, message.honoured, self.state.clock.now())
+        self.state.others.receive_update(
+            peer.peer.incarnation, message.honoured, self.state.clock.now()
+        )
 
     def _receive_changes(self, peer: PeerConnection, message: TableChanges) -> None:
-        self.state.platform.exchange.hear(message, self.state.clock.now())
+        self.state.platform.exchange.receive_changes(message, self.state.clock.now())
 
     def _receive_eraless_changes(self, peer: PeerConnection, message: EralessTableChanges) -> None:
         self._receive_changes(peer, message.in_first_era())
 
     def _receive_configuration(self, peer: PeerConnection, message: NewestConfiguration) -> None:
-        self.state.standing.note_vouched(message.version, self.state.clock.now())
+        self.state.standing.record_peer_confirmation(message.version, self.state.clock.now())
 
     def _receive_crash(self, peer: PeerConnection, message: UpstreamCrash) -> None:
         for digest in message.digests:
-            self.state.suspects.note_crash(digest, message.upstream, self.state.clock.now())
+            self.state.suspects.record_crash(digest, message.upstream, self.state.clock.now())
 
 
 def post_all(peers: Iterable[PeerConnection], message: Any) -> None:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_platform.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_platform.py
@@ -213,14 +213,14 @@
     listed : tuple of Member
     removed : tuple of str
         Names of VMs whose entries were removed.
-    after_return : bool
+    after_restore : bool
         Whether this is the first reading since the store was restored from a copy.
     """
 
     whole: bool
     listed: tuple[Member, ...] = ()
     removed: tuple[str, ...] = ()
-    after_return: bool = False
+    after_restore: bool = False
 
 
 class MemberRegistry(ABC):
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_refusals.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_refusals.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from burdockquay_coordination.forwarding import return_after_s
+from burdockquay_coordination.forwarding import retry_delay_s
 from burdockquay_protocol import ErrorKind, RequestError
 
 from .._events import Event, log_event
@@ -74,4 +74,4 @@
         if request is not None and request.patience_s is not None:
             patience = request.patience_s - (now - started)
         is_referred = kind in PROCESS_LOCAL_KINDS and self.state.refers_callers(now)
-        return return_after_s(patience, is_referred, self.state.rng)
+        return retry_delay_s(patience, is_referred, self.state.rng)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_relay.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_relay.py
@@ -71,7 +71,7 @@
         CallError
             If it ends without an answer from an upstream.
         """
-        self.state.budget(call.service).note_request(self.state.clock.now())
+        self.state.budget(call.service).record_request(self.state.clock.now())
         while True:
             outcome = await self._choose_and_send(call)
             name = type(outcome).__name__
@@ -132,7 +132,7 @@
         holds what was generated, so that no event is generated again.
         """
         backup = call.backup
-        return backup is not None and call.last_event is not None and backup.takes_work()
+        return backup is not None and call.last_event is not None and backup.accepts_work()
 
     async def _record_outcome(self, call: ForwardCall, outcome: Outcome) -> bool:
         """Record an outcome at its upstream; return whether the upstream is down."""
@@ -147,11 +147,11 @@
             sends=call.sends,
         )
         if isinstance(outcome, Broke):
-            upstream.health.note_failure(now)
+            upstream.health.record_failure(now)
         is_down = isinstance(outcome, NotSent) or await self._went_down(outcome)
         if is_down:
-            upstream.health.note_unreachable(now)
-            self.state.losses(call.service).note(upstream.incarnation, now)
+            upstream.health.record_unreachable(now)
+            self.state.losses(call.service).record_loss(upstream.incarnation, now)
             self.state.record_down(upstream.incarnation)
         return is_down
 
@@ -181,7 +181,7 @@
         candidates = state.book.of_service(call.service)
         if not usable_upstreams(candidates, call.tried, now, state.switches):
             return False
-        if state.budget(call.service).try_repeat(now):
+        if state.budget(call.service).try_retry(now):
             return True
         state.metrics.repeats_denied.labels(call.service).inc()
         return False
@@ -276,7 +276,7 @@
         now = state.clock.now()
         others = state.book.of_service(call.service)
         answer_s = call.sent.placement.answer_s
-        if state.losses(call.service).copies_pay(answer_s, len(others), now):
+        if state.losses(call.service).is_copy_worthwhile(answer_s, len(others), now):
             call.backup = choose_backup(others, upstream, now, state.rng)
 
     def _compose(self, call: ForwardCall, upstream: Upstream) -> Send:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
@@ -9,15 +9,15 @@
 
 from burdockquay_coordination.forwarding import (
     ConfigDirectory,
-    ConfigStanding,
+    ConfigVersionTracker,
     CrashSuspects,
     ForwardConfig,
     FreshnessLease,
     LossRate,
     Mechanism,
-    OtherProcesses,
+    PeerAvailability,
     RetryWindow,
-    UpstreamBook,
+    UpstreamRegistry,
 )
 
 from .._clock import Clock
@@ -68,10 +68,10 @@
         self.switches = platform.exchange.switches
         self.directory: ConfigDirectory | None = None
         self.lease = FreshnessLease(settings.withdrawal_ms / 1000 * LEASE_SHARE)
-        self.standing = ConfigStanding()
-        self.book = UpstreamBook(rng)
+        self.standing = ConfigVersionTracker()
+        self.book = UpstreamRegistry(rng)
         self.suspects = CrashSuspects()
-        self.others = OtherProcesses()
+        self.others = PeerAvailability()
         self.connections = UpstreamConnections()
         self.leaving = False
         self.metrics = Figures()
@@ -110,8 +110,8 @@
         if self.directory is not None and config.version <= self.directory.config.version:
             return False
         self.directory = ConfigDirectory(config)
-        self.standing.note_held(config.version, self.clock.now())
-        self.book.set_memories({item.service: item.tokens for item in config.memories})
+        self.standing.record_held_version(config.version, self.clock.now())
+        self.book.set_memory_capacities({item.service: item.tokens for item in config.memories})
         return True
 
     def confirm_configuration(self, as_of: float) -> None:
@@ -158,7 +158,7 @@
 
     def record_down(self, incarnation: str) -> None:
         """Record that an upstream is down, and send peers the digests of what ran there."""
-        digests = self.suspects.note_down(incarnation, self.clock.now())
+        digests = self.suspects.record_down(incarnation, self.clock.now())
         if digests:
             self.broadcast_crash(incarnation, digests)
 
@@ -180,7 +180,7 @@
         """Return whether API keys may be honoured."""
         if not self.settings.keys_fail_closed:
             return True
-        if self.standing.is_outdated(now) or self.standing.is_unproven(now):
+        if self.standing.is_outdated(now) or self.standing.is_unverified(now):
             return False
         return self.lease.is_fresh(now)
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_table_feed.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_table_feed.py
@@ -13,9 +13,9 @@
 from result import Err, Ok, Result
 
 from burdockquay_coordination.forwarding import (
-    Fit,
+    ChangeContinuity,
     Mechanism,
-    PollTurn,
+    PollSchedule,
     StoreEra,
     Switches,
     is_poller,
@@ -126,21 +126,21 @@
     rows : tuple of ChangedRow
     as_of : float
         A time at which nothing else had changed, on the clock of this process.
-    troubled_at : float
+    last_failure_at : float
         When the platform last failed to answer a query for the table or was restored from a copy,
         as far as is known.
     era : int
         Of the platform's store.
-    after_return : bool
+    after_restore : bool
         Whether this is the first update since the store was restored from a copy.
     """
 
     whole: bool
     rows: tuple[ChangedRow, ...]
     as_of: float
-    troubled_at: float = float("-inf")
+    last_failure_at: float = float("-inf")
     era: int = 0
-    after_return: bool = False
+    after_restore: bool = False
 
     def split(self, read: Callable[[ChangedRow], T | None]) -> RowsSplit[T]:
         """Decode the rows, and list those that were removed or cannot be read.
@@ -182,20 +182,20 @@
         """Pass the messages of peers about a table to its feed."""
         self._feeds[feed.table] = feed
 
-    def hear(self, message: TableChanges, now: float) -> None:
+    def receive_changes(self, message: TableChanges, now: float) -> None:
         """Pass a message of a peer to the feed of its table."""
         if not self.switches.uses(Mechanism.SHARED_POLLS):
             return
         if message.era:
-            self.note_era(message.era, now)
+            self.record_era(message.era, now)
         feed = self._feeds.get(message.table)
         if feed is not None:
             feed.receive(message)
 
-    def note_era(self, era: int, now: float) -> None:
+    def record_era(self, era: int, now: float) -> None:
         """Record the era of the store in an answer or message; a new era restarts all feeds."""
         before = self.era.newest
-        if not self.era.note(era, now):
+        if not self.era.record_era(era, now):
             return
         ages = {table: feed.age_s(now) for table, feed in self._feeds.items()}
         log_event(Event.STORE_RETURNED, era=era, era_before=before, ages_s=ages)
@@ -232,7 +232,7 @@
         self.store = store
         self.table = table
         self.exchange = exchange
-        self.turn = PollTurn(exchange.rng, exchange.switches)
+        self.poll_schedule = PollSchedule(exchange.rng, exchange.switches)
         self._position: Position | None = None
         self._read_era: int | None = None
         self._reread_at = float("-inf")
@@ -272,7 +272,7 @@
 
     def set_poller(self, polls: bool) -> None:
         """Set whether this process is one of those that poll."""
-        self.turn.is_poller = polls
+        self.poll_schedule.is_poller = polls
         self._wake.set()
 
     def on_store_restored(self, now: float) -> None:
@@ -280,12 +280,12 @@
 
         The changes of the restored store do not continue from the known position.
         """
-        self._reread_at = now + self.turn.reread_delay_s(now)
+        self._reread_at = now + self.poll_schedule.reread_delay_s(now)
         self._wake.set()
 
     def age_s(self, now: float) -> float:
         """Return the time since the known state of the table was last confirmed, seconds."""
-        return self.turn.age_s(now)
+        return self.poll_schedule.age_s(now)
 
     def _is_past(self) -> bool:
         """Return whether the store was restored from a copy after the known position."""
@@ -317,12 +317,14 @@
         now = self.store.now()
         if self._pending_query is not None or now < self._reread_at:
             return
-        if not self.turn.is_due(now, wait_s):
+        if not self.poll_schedule.is_due(now, wait_s):
             return
-        hold_s = self.turn.hold_s(now, wait_s)
+        hold_s = self.poll_schedule.hold_s(now, wait_s)
         answer = asyncio.ensure_future(self.store.wait_for_rows(self.table, self._position, hold_s))
         answer.add_done_callback(lambda _: self._wake.set())
-        self._pending_query = _PendingQuery(self._position, self.turn.tells(now, wait_s), answer)
+        self._pending_query = _PendingQuery(
+            self._position, self.poll_schedule.broadcasts_answer(now, wait_s), answer
+        )
 
     async def _wait(self, wait_s: float) -> None:
         """Wait for a peer, for the platform, or until the next query is due."""
@@ -331,7 +333,7 @@
         if self._is_past():
             limit_s = max(0.0, self._reread_at - now)
         elif self._pending_query is None:
-            due_at = max(self._reread_at, self.turn.next_due_at(now, wait_s))
+            due_at = max(self._reread_at, self.poll_schedule.next_due_at(now, wait_s))
             limit_s = max(0.0, due_at - now)
         try:
             async with asyncio.timeout(limit_s):
@@ -346,16 +348,18 @@
             if message.era != self._position.era:
                 continue
             as_of = self._valid_at(message)
-            fit = self.turn.judge(self._position.revision, message.after, message.upto)
-            if fit is Fit.GAP:
+            fit = self.poll_schedule.classify_changes(
+                self._position.revision, message.after, message.upto
+            )
+            if fit is ChangeContinuity.GAP:
                 continue
-            self.turn.confirm_by_peer(as_of, self.store.now())
+            self.poll_schedule.confirm_by_peer(as_of, self.store.now())
             # A message may begin before the known position. A row from the copy that is received
             # again must not be taken for a change by its writer.
             known = self._position.revision
             rows = tuple(row for row in message.rows if row.revision > known)
             self._record_rows(rows, message.upto)
-            return TableUpdate(False, rows, as_of, self._troubled_at(message), message.era)
+            return TableUpdate(False, rows, as_of, self._last_failure_at(message), message.era)
         return None
 
     def _take_peer_table(self) -> Result[TableUpdate, TableError] | None:
@@ -365,11 +369,11 @@
             if message.after != 0 or message.era != self.exchange.era.newest:
                 continue
             as_of = self._valid_at(message)
-            self.turn.confirm_by_peer(as_of, self.store.now())
+            self.poll_schedule.confirm_by_peer(as_of, self.store.now())
             rows = tuple(message.rows)
-            after_return = self._restart_from(rows, Position(message.era, message.upto))
-            troubled_at = self._troubled_at(message)
-            return Ok(TableUpdate(True, rows, as_of, troubled_at, message.era, after_return))
+            after_restore = self._restart_from(rows, Position(message.era, message.upto))
+            last_failure_at = self._last_failure_at(message)
+            return Ok(TableUpdate(True, rows, as_of, last_failure_at, message.era, after_restore))
         return None
 
     def _valid_at(self, message: TableChanges) -> float:
@@ -381,9 +385,9 @@
         valid_at = self.store.moment_of(message.store_s, message.era)
         return float("-inf") if valid_at is None else valid_at
 
-    def _troubled_at(self, message: TableChanges) -> float:
+    def _last_failure_at(self, message: TableChanges) -> float:
         failed_query_at = self.store.now() - message.steady_s
-        return max(failed_query_at, self.exchange.era.returned_at)
+        return max(failed_query_at, self.exchange.era.restored_at)
 
     async def _apply_answer(
         self, query: _PendingQuery, wait_s: float
@@ -394,44 +398,44 @@
         if isinstance(answer, Err):
             if answer.err().kind is TableErrorKind.CONFLICT:
                 return await self._read()
-            self.turn.fail(now)
+            self.poll_schedule.record_no_answer(now)
             return answer
         reading = answer.ok()
-        self.exchange.note_era(reading.position.era, now)
+        self.exchange.record_era(reading.position.era, now)
         if reading.position.era != query.after.era:
             return None
-        self.turn.succeed(reading.as_of, now, wait_s)
+        self.poll_schedule.record_answer(reading.as_of, now, wait_s)
         if query.is_shared:
             self._broadcast(query.after, reading, reading.rows)
         rows = reading.rows if reading.position > self._position else ()
         self._record_rows(rows, reading.position.revision)
-        troubled_at = max(now - self.turn.steady_s(now), self.exchange.era.returned_at)
-        return Ok(TableUpdate(False, rows, reading.as_of, troubled_at, reading.position.era))
+        last_failure_at = max(now - self.poll_schedule.steady_s(now), self.exchange.era.restored_at)
+        return Ok(TableUpdate(False, rows, reading.as_of, last_failure_at, reading.position.era))
 
     async def _read(self) -> Result[TableUpdate, TableError]:
         """Read the complete table, and send peers what changed since the known position."""
         read = await self.store.read_table(self.table)
         now = self.store.now()
         if isinstance(read, Err):
-            self.turn.fail(now)
+            self.poll_schedule.record_no_answer(now)
             self._position = None
             return read
         reading = read.ok()
         era = reading.position.era
-        self.exchange.note_era(era, now)
+        self.exchange.record_era(era, now)
         if self.exchange.era.is_past(era):
             return Err(TableError(TableErrorKind.UNAVAILABLE, f"rows of the past era {era}"))
         after, known = self._position, self._keys
-        after_return = self._restart_from(reading.rows, reading.position)
-        self.turn.confirm(reading.as_of)
-        if after_return:
+        after_restore = self._restart_from(reading.rows, reading.position)
+        self.poll_schedule.confirm(reading.as_of)
+        if after_restore:
             self._broadcast_table(reading)
         elif after is not None:
             removed = [ChangedRow(key, None, self._position.revision) for key in known - self._keys]
             changed = [row for row in reading.rows if row.revision > after.revision]
             self._broadcast(after, reading, (*changed, *removed))
-        returned_at = self.exchange.era.returned_at
-        return Ok(TableUpdate(True, reading.rows, reading.as_of, returned_at, era, after_return))
+        restored_at = self.exchange.era.restored_at
+        return Ok(TableUpdate(True, reading.rows, reading.as_of, restored_at, era, after_restore))
 
     def _restart_from(self, rows: Collection[ChangedRow], position: Position) -> bool:
         """Continue from a complete table.
@@ -456,7 +460,7 @@
 
     def _broadcast_table(self, reading: TableReading) -> None:
         """Send the complete table to peers, if this process is one of the first to read it."""
-        if self.turn.reads_first(self.store.now()):
+        if self.poll_schedule.reads_first(self.store.now()):
             self._broadcast(Position(reading.position.era, 0), reading, reading.rows)
 
     def _broadcast(
@@ -466,7 +470,7 @@
             return
         if sum(len(row.value or b"") for row in rows) > MAX_BROADCAST_BYTES:
             after, rows = reading.position, ()
-        steady_s = self.turn.steady_s(self.store.now())
+        steady_s = self.poll_schedule.steady_s(self.store.now())
         self.exchange.tell(
             TableChanges(
                 self.table,
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_dispatch.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_dispatch.py
@@ -14,8 +14,8 @@
     ServiceShare,
     ServiceTargets,
     Switches,
-    UpstreamBook,
     UpstreamChanges,
+    UpstreamRegistry,
 )
 from burdockquay_protocol import ErrorKind
 from burdockquay_transport import SystemClock
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def book():
-    book = UpstreamBook()
+    book = UpstreamRegistry()
     entry = ListedUpstream("u", "s", "127.0.0.1", 1, "a", 8, False, 1)
     book.apply(UpstreamChanges(True, (entry,)), 0.0)
     return book
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_member_book.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_member_book.py
@@ -13,7 +13,7 @@
 
 
 def restored(*listed):
-    return MemberChanges(True, listed, after_return=True)
+    return MemberChanges(True, listed, after_restore=True)
 
 
 def changed(*listed, removed=()):
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
@@ -105,7 +105,7 @@
     store.restore(60, b"newest")
     store.answer(Ok(store.reading(ChangedRow("other", b"", 60))))
     update = await pending
-    assert update.whole and update.after_return and update.era == 2
+    assert update.whole and update.after_restore and update.era == 2
     assert [row.value for row in update.rows] == [b"newest"]
 
 
@@ -114,8 +114,8 @@
     pending = asyncio.create_task(next_update(feed))
     await asyncio.sleep(0.01)
     store.restore(20, b"older")
-    exchange.note_era(2, store.time)
-    assert (await pending).after_return
+    exchange.record_era(2, store.time)
+    assert (await pending).after_restore
     assert store.waiting[0].cancelled()
 
 
@@ -125,18 +125,18 @@
     Its revisions are far ahead of those that the store assigns now.
     """
     store.restore(20, b"older")
-    exchange.note_era(2, store.time)
-    assert (await next_update(feed)).after_return
-    feed.turn.is_poller = False
-    exchange.hear(make_message(1, 50, 90), store.time)
+    exchange.record_era(2, store.time)
+    assert (await next_update(feed)).after_restore
+    feed.poll_schedule.is_poller = False
+    exchange.receive_changes(make_message(1, 50, 90), store.time)
     assert await yields_nothing(feed)
 
 
 async def test_message_of_a_later_era_is_no_continuation(feed, store, exchange):
     """A peer is ahead; its message seems to continue from the known position."""
-    feed.turn.is_poller = False
+    feed.poll_schedule.is_poller = False
     store.restore(60, b"newest")
-    exchange.hear(make_message(2, 50, 60, b"part"), store.time)
+    exchange.receive_changes(make_message(2, 50, 60, b"part"), store.time)
     assert await yields_nothing(feed), "it does not read at the same time as all others"
     store.time += 1.0
     update = await next_update(feed)
@@ -147,11 +147,11 @@
     feed, store, exchange
 ):
     """Otherwise, all processes would read all tables at the same time."""
-    feed.turn.is_poller = False
-    exchange.hear(make_message(2, 0, 40), store.time)
+    feed.poll_schedule.is_poller = False
+    exchange.receive_changes(make_message(2, 0, 40), store.time)
     update = await next_update(feed)
-    assert update.whole and update.after_return and store.reads == 1
-    exchange.hear(make_message(2, 40, 41, b"next"), store.time)
+    assert update.whole and update.after_restore and store.reads == 1
+    exchange.receive_changes(make_message(2, 40, 41, b"next"), store.time)
     assert [row.value for row in (await next_update(feed)).rows] == [b"next"]
 
 
@@ -161,13 +161,13 @@
     """The restored store rejects one process; its peers send it what they read."""
     store.has_clock = False
     store.is_unavailable = True
-    exchange.note_era(2, store.time)
+    exchange.record_era(2, store.time)
     assert (await feed.next(1.0)).is_err()
-    exchange.hear(make_message(2, 0, 40), store.time)
+    exchange.receive_changes(make_message(2, 0, 40), store.time)
     update = await next_update(feed)
-    assert update.after_return and [row.value for row in update.rows] == [b"new"]
+    assert update.after_restore and [row.value for row in update.rows] == [b"new"]
     assert update.as_of == float("-inf")
-    exchange.hear(make_message(2, 40, 41, b"next"), store.time)
+    exchange.receive_changes(make_message(2, 40, 41, b"next"), store.time)
     assert [row.value for row in (await next_update(feed)).rows] == [b"next"]
 
 
@@ -175,10 +175,10 @@
     feed, store, exchange
 ):
     """All processes have the table and need one query each to get the clock of the new era."""
-    feed.turn.is_poller = False
+    feed.poll_schedule.is_poller = False
     store.time += 5.0
-    exchange.hear(make_message(2, 0, 40), store.time)
-    assert (await next_update(feed)).after_return
+    exchange.receive_changes(make_message(2, 0, 40), store.time)
+    assert (await next_update(feed)).after_restore
     assert await yields_nothing(feed)
     assert store.waits == 0
     store.time += 1.0
@@ -188,7 +188,7 @@
 
 async def test_poller_sends_the_complete_table_after_the_restore(feed, store, exchange):
     store.restore(20, b"older")
-    exchange.note_era(2, store.time)
+    exchange.record_era(2, store.time)
     await next_update(feed)
     (message,) = exchange.sent
     assert (message.era, message.after, message.upto) == (2, 0, 20)
@@ -201,20 +201,20 @@
     No process sent the table after the restore, and a process that the store rejected did not
     receive it.
     """
-    feed.turn.confirm_by_peer(store.time, store.time)
-    feed.turn.fail(store.time)
-    assert not feed.turn.polls(store.time)
+    feed.poll_schedule.confirm_by_peer(store.time, store.time)
+    feed.poll_schedule.record_no_answer(store.time)
+    assert not feed.poll_schedule.polls(store.time)
     store.restore(20, b"older")
-    exchange.note_era(2, store.time)
+    exchange.record_era(2, store.time)
     await next_update(feed)
     assert [(item.era, item.after) for item in exchange.sent] == [(2, 0)]
 
 
 async def test_process_that_does_not_poll_sends_nothing_after_the_restore(feed, store, exchange):
     """With a hundred processes, each would send all others what they read themselves."""
-    feed.turn.is_poller = False
+    feed.poll_schedule.is_poller = False
     store.restore(20, b"older")
-    exchange.note_era(2, store.time)
+    exchange.record_era(2, store.time)
     store.time += 1.0
     await next_update(feed)
     assert exchange.sent == []
@@ -222,18 +222,18 @@
 
 async def test_complete_reading_of_a_past_era_is_an_error(feed, store, exchange):
     """A complete reading arrives late, after another table showed that the store was restored."""
-    exchange.note_era(2, store.time)
+    exchange.record_era(2, store.time)
     read = await feed.next(1.0)
     assert read.err().kind is TableErrorKind.UNAVAILABLE
     store.restore(20, b"older")
-    assert (await next_update(feed)).after_return
+    assert (await next_update(feed)).after_restore
 
 
 async def test_table_is_read_once_after_two_restores_in_a_row(feed, store, exchange):
     store.restore(20, b"older")
-    exchange.note_era(2, store.time)
+    exchange.record_era(2, store.time)
     store.restore(10, b"oldest")
-    exchange.note_era(3, store.time)
+    exchange.record_era(3, store.time)
     assert (await next_update(feed)).era == 3
     assert store.reads == 2
 
@@ -241,12 +241,12 @@
 async def test_row_that_a_message_repeats_is_no_change(feed, store, exchange):
     """A message begins before the known position and has a row from the copy again."""
     store.restore(20, b"older")
-    exchange.note_era(2, store.time)
+    exchange.record_era(2, store.time)
     await next_update(feed)
-    exchange.hear(make_message(2, 0, 20, b"older"), store.time)
+    exchange.receive_changes(make_message(2, 0, 20, b"older"), store.time)
     assert (await next_update(feed)).rows == ()
     rows = [ChangedRow("k", b"older", 20), ChangedRow("j", b"new", 21)]
-    exchange.hear(TableChanges("t", 2, 0, 21, 10.0, 3600.0, rows), store.time)
+    exchange.receive_changes(TableChanges("t", 2, 0, 21, 10.0, 3600.0, rows), store.time)
     assert [row.key for row in (await next_update(feed)).rows] == ["j"]
 
 
@@ -274,12 +274,12 @@
     pending = asyncio.create_task(next_update(feed))
     await asyncio.sleep(0.01)
     store.answer(Ok(store.reading()))
-    assert (await pending).troubled_at == store.time
+    assert (await pending).last_failure_at == store.time
 
 
 async def test_first_era_that_a_process_receives_is_not_a_restore(store, exchange):
     store.position = Position(7, 50)
     feed = TableFeed(store, "t", exchange)
     update = await next_update(feed)
-    assert not update.after_return
-    assert update.troubled_at == float("-inf")
+    assert not update.after_restore
+    assert update.last_failure_at == float("-inf")
