--- a/benchmarks/bench_decisions.py
+++ b/benchmarks/bench_decisions.py
@@ -12,9 +12,9 @@
     AdmissionController,
     Candidate,
     PlacementRequest,
+    QueuedRequest,
     RouteTable,
     SlotScheduler,
-    Waiting,
     Work,
     placement_policies,
     queue_policies,
@@ -51,10 +51,10 @@
     return best / TURNS * 1e6
 
 
-def make_queued_request(number: int) -> Waiting:
+def make_queued_request(number: int) -> QueuedRequest:
     class_name = list(CLASSES)[number % len(CLASSES)]
     organisation = ORGANISATIONS[number % len(ORGANISATIONS)]
-    return Waiting(f"r{number}", organisation, class_name, number * 1e-3, 1e9)
+    return QueuedRequest(f"r{number}", organisation, class_name, number * 1e-3, 1e9)
 
 
 def measure_queue(policy: str, size: int) -> float:
--- a/benchmarks/bench_flood_model.py
+++ b/benchmarks/bench_flood_model.py
@@ -8,7 +8,7 @@
 
 from _report import print_result, print_table
 
-from burdockquay_coordination import AdmissionController, Waiting, queue_policies
+from burdockquay_coordination import AdmissionController, QueuedRequest, queue_policies
 from burdockquay_state import ClassRecord, OrganisationRecord, PolicyRecord
 
 PLACES = 36
@@ -63,7 +63,7 @@
             self.end_until(at)
             self.sent[name] = self.sent.get(name, 0) + 1
             if self.admission.admit(name, class_name, self.queue, at).is_ok():
-                self.queue.push(Waiting(f"r{number}", name, class_name, at, 1e9), at)
+                self.queue.push(QueuedRequest(f"r{number}", name, class_name, at, 1e9), at)
             self.start(at)
         others = [name for name in WEIGHTS if name != FLOODING]
         met = sum(self.met.get(name, 0) for name in others)
--- a/benchmarks/bench_health.py
+++ b/benchmarks/bench_health.py
@@ -11,7 +11,7 @@
 import attrs
 from _report import print_result, print_table
 
-from burdockquay_coordination import ProbeGate
+from burdockquay_coordination import ProbeCircuitBreaker
 
 RUNS = 400
 DOWN_S = 20.0
@@ -42,7 +42,7 @@
 
 def run(by_users: bool, needed: int, rng: random.Random) -> Tally:
     """Simulate one failure and recovery, in steps of one request."""
-    breaker = ProbeGate(successes_needed=needed)
+    breaker = ProbeCircuitBreaker(successes_needed=needed)
     tally = Tally()
     next_test = 0.0
     step = 1.0 / REQUESTS_PER_S
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_health.py
@@ -169,7 +169,7 @@
         state.slow = self._ratio(state) >= limit
 
 
-class ProbeGate:
+class ProbeCircuitBreaker:
     """Circuit breaker with two states: unhealthy after a failure, until enough probes succeed.
 
     Parameters
@@ -189,7 +189,7 @@
 
     Examples
     --------
-    >>> gate = ProbeGate(successes_needed=2)
+    >>> gate = ProbeCircuitBreaker(successes_needed=2)
     >>> gate.failed(now=0.0)
     >>> gate.probe_result(True, now=1.0)
     >>> gate.healthy
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_load_turns.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_load_turns.py
@@ -83,10 +83,10 @@
         return await self.leases.acquire(name, self.holder, self.duration_s, now)
 
     def keep_until_due(self, lease: Lease, taken_at: float) -> None:
-        """Schedule the release of a turn at the end of its duration; see :meth:`tend`."""
+        """Schedule the release of a turn at the end of its duration; see :meth:`release_due`."""
         self._pending_releases.append((taken_at + self.duration_s, lease))
 
-    async def tend(self, now: float) -> None:
+    async def release_due(self, now: float) -> None:
         """Release the turns that are due. A turn that cannot be released expires."""
         due = [lease for due_at, lease in self._pending_releases if due_at <= now]
         self._pending_releases = [part for part in self._pending_releases if part[0] > now]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_membership.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_membership.py
@@ -77,7 +77,7 @@
         return not self.connected and since is not None and now - since >= UNREACHABLE_AFTER_S
 
 
-class MembershipBook:
+class MembershipTracker:
     """Tracks the VMs of an entry, from the VM list and from the entry's own connections.
 
     Parameters
@@ -130,7 +130,7 @@
             self._drop_if_unused(vm)
         return MembershipChange(appeared, vanished, tuple(sorted(leaving)))
 
-    def learn(self, entry: VmEntry, now: float) -> None:
+    def add_configured_slot(self, entry: VmEntry, now: float) -> None:
         """Add a slot that is not from the list but from an address in the settings."""
         self._members.setdefault(entry.vm, _Member(entry, listed=False))
 
@@ -172,7 +172,7 @@
         if member.failing_since is None:
             member.failing_since = now
 
-    def said_leaving(self, vm: str, incarnation: str, now: float) -> None:
+    def record_leaving(self, vm: str, incarnation: str, now: float) -> None:
         """Record that a slot has announced that it accepts no new work."""
         member = self._members.get(vm)
         if member is not None:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class OnceTicket:
+class AtMostOnceTicket:
     """State that an entry keeps of a request that runs at most once.
 
     Parameters
@@ -90,7 +90,7 @@
     detail: str = ""
 
 
-class OnceResolver:
+class AtMostOnceResolver:
     """Determines the outcome of an attempt, and prevents it from starting later.
 
     Parameters
@@ -110,18 +110,18 @@
 
     def open_ticket(
         self, organisation: str, key: str, digest: str, started_at: float
-    ) -> OnceTicket:
+    ) -> AtMostOnceTicket:
         """Return the ticket of a newly arrived request."""
-        return OnceTicket(organisation, key, digest, started_at, self.claims.table.absent)
+        return AtMostOnceTicket(organisation, key, digest, started_at, self.claims.table.absent)
 
     async def settle(
-        self, ticket: OnceTicket, clock: Callable[[], float], claim_lost: bool = False
+        self, ticket: AtMostOnceTicket, clock: Callable[[], float], claim_lost: bool = False
     ) -> Settled:
         """Settle a ticket after a lost connection, a rejected claim or a timeout.
 
         Parameters
         ----------
-        ticket : OnceTicket
+        ticket : AtMostOnceTicket
         clock : callable
             Returns the time in seconds since the epoch. It is called again after each wait, since
             the process may have been paused in between.
@@ -150,7 +150,7 @@
             row = extended.ok()
         return await self._interpret_row(ticket, row, clock())
 
-    async def check_repeat(self, ticket: OnceTicket, clock: Callable[[], float]) -> Settled:
+    async def check_repeat(self, ticket: AtMostOnceTicket, clock: Callable[[], float]) -> Settled:
         """Read the state of a key for which this entry has made no attempt.
 
         Returns
@@ -170,7 +170,7 @@
         return self.claims.table.era > era_of(version)
 
     async def _interpret_row_of_later_era(
-        self, ticket: OnceTicket, row: ClaimRow, now: float
+        self, ticket: AtMostOnceTicket, row: ClaimRow, now: float
     ) -> Settled:
         """Interpret a row of a later era, which may lack the claim of the attempt.
 
@@ -185,7 +185,7 @@
         return Settled(SettledState.UNKNOWN, detail=detail)
 
     async def _cancel_or_read(
-        self, ticket: OnceTicket, now: float, claim_lost: bool
+        self, ticket: AtMostOnceTicket, now: float, claim_lost: bool
     ) -> Result[CancelOutcome, TableError]:
         if claim_lost:
             read = await self.claims.read(ticket.organisation, ticket.key)
@@ -202,7 +202,7 @@
         )
 
     async def _extend_row(
-        self, ticket: OnceTicket, row: ClaimRow, now: float
+        self, ticket: AtMostOnceTicket, row: ClaimRow, now: float
     ) -> Result[ClaimRow, TableError]:
         """Extend the life of an old row until the attempt that it prevents can no longer start.
 
@@ -219,7 +219,7 @@
         detail = "another request with the key left no outcome"
         return Err(TableError(TableErrorKind.CONFLICT, detail))
 
-    async def _interpret_row(self, ticket: OnceTicket, row: ClaimRow, now: float) -> Settled:
+    async def _interpret_row(self, ticket: AtMostOnceTicket, row: ClaimRow, now: float) -> Settled:
         if row.digest != ticket.digest:
             detail = "the key was first used with another request"
             return Settled(SettledState.KEY_REUSED, detail=detail)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
@@ -36,7 +36,7 @@
 ERA_POLL_INTERVAL_S = 0.5
 """Interval between two reads of a table whose era is known and not open, seconds."""
 
-HOLD_S = NOTICE_LIMIT_S + RESTORE_LIMIT_S + HOLD_MARGIN_S
+CLAIM_HOLD_S = NOTICE_LIMIT_S + RESTORE_LIMIT_S + HOLD_MARGIN_S
 """Time without claims after a new era was first observed, seconds."""
 
 
@@ -62,7 +62,9 @@
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {"hold_s": [Interval(float, 0.0)]}
 
-    def __init__(self, claims: ClaimStore, clock: Callable[[], float], hold_s: float = HOLD_S):
+    def __init__(
+        self, claims: ClaimStore, clock: Callable[[], float], hold_s: float = CLAIM_HOLD_S
+    ):
         self.claims = claims
         self.clock = clock
         self.hold_s = hold_s
@@ -108,10 +110,10 @@
         """Return whether a claim may be made in an era; reads the table if that is not known."""
         is_due = era > self._observed_era or self.clock() - self._polled_at >= ERA_POLL_INTERVAL_S
         if not self.may_claim(era) and is_due:
-            await self.look()
+            await self.refresh_era()
         return self.may_claim(era)
 
-    async def look(self) -> Result[None, TableError]:
+    async def refresh_era(self) -> Result[None, TableError]:
         """Read the era of the table, and restore claims or permit new ones if it is new.
 
         Notes
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
@@ -31,7 +31,7 @@
 }
 
 
-class OnceGuard:
+class AtMostOnceGuard:
     """Allows each claimed attempt to be sent upstream once.
 
     Parameters
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_orders.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_orders.py
@@ -109,7 +109,7 @@
     return f"{engine}/{record.name}/{digest}"
 
 
-def concerns(record: PlacementRecord, group: str, vm: str) -> bool:
+def applies_to_engine(record: PlacementRecord, group: str, vm: str) -> bool:
     """Return whether a record applies to the engine of a VM."""
     return record.group == group and (not record.vms or vm in record.vms)
 
@@ -183,7 +183,7 @@
         OrderState
             After ``WAITING`` the caller retries later.
         """
-        await self.turns.tend(clock())
+        await self.turns.release_due(clock())
         name = order_id(record, self.engine)
         if name in self._settled:
             return self._settled[name]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_places.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_places.py
@@ -15,7 +15,7 @@
 """Request id and attempt number."""
 
 
-def is_movable(record: ClassRecord) -> bool:
+def is_preemptible(record: ClassRecord) -> bool:
     """Return whether requests of a class may be paused for a higher class."""
     return record.preemptible and not record.protected
 
@@ -111,7 +111,7 @@
     def free_for(self, record: ClassRecord, classes: Mapping[str, ClassRecord]) -> int:
         """Return the number of places that the class may take now; not positive if none."""
         free = self.places - self._total
-        if self.can_pause and is_movable(record):
+        if self.can_pause and is_preemptible(record):
             return free
         kept = sum(
             max(0, count - self.occupied_by(name))
@@ -175,7 +175,7 @@
 
     def _is_preemptible(self, class_name: str, classes: Mapping[str, ClassRecord]) -> bool:
         record = classes.get(class_name)
-        return self.can_pause and (record is None or is_movable(record))
+        return self.can_pause and (record is None or is_preemptible(record))
 
     def _set_state(self, accepted: AcceptedAttempt, state: AttemptState, now: float) -> None:
         del self._by_state[accepted.state][accepted.key]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_preemption.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_preemption.py
@@ -4,7 +4,7 @@
 
 from burdockquay_state import ClassRecord
 
-from ._places import AcceptedAttempt, AttemptState, PlaceTable, is_movable
+from ._places import AcceptedAttempt, AttemptState, PlaceTable, is_preemptible
 from ._shares import ShareLedger
 
 MIN_RUN_S = 0.25
@@ -39,7 +39,7 @@
     found = []
     for accepted in places.in_state(AttemptState.RUNNING):
         other = ledger.record(accepted.work.class_name)
-        lower = is_movable(other) and other.priority < record.priority
+        lower = is_preemptible(other) and other.priority < record.priority
         if lower and not (accepted.resumed and now - accepted.since < MIN_RUN_S):
             found.append((other.priority, -accepted.started, accepted))
     found.sort(key=lambda item: item[:2])
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_prefixes.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_prefixes.py
@@ -31,7 +31,7 @@
     --------
     >>> index = PrefixIndex(blocks_per_vm=100)
     >>> blocks = index.blocks("a" * 600)
-    >>> index.note("vm-1", blocks, now=0.0)
+    >>> index.record_prompt("vm-1", blocks, now=0.0)
     >>> index.overlap("vm-1", index.blocks("a" * 512 + "b" * 256)), index.overlap("vm-2", blocks)
     (2, 0)
     """
@@ -51,7 +51,7 @@
             names.append(digest.intdigest())
         return names
 
-    def note(self, vm: str, blocks: Sequence[int], now: float) -> None:
+    def record_prompt(self, vm: str, blocks: Sequence[int], now: float) -> None:
         """Record that a prompt was sent to a VM."""
         sent = self._sent.setdefault(vm, OrderedDict())
         for block in reversed(blocks):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
@@ -30,7 +30,7 @@
     subtracted: set[str] = attrs.field(factory=set)
 
 
-class QuarantineBook:
+class QuarantineTracker:
     """Counts the upstream crashes during which each request ran.
 
     Parameters
@@ -87,7 +87,7 @@
                 self._subtract_crashes_of(digest)
         return [one for one in changed if one.digest in self._suspicions]
 
-    def note_finished(self, digest: str, now: float) -> None:
+    def record_completion(self, digest: str, now: float) -> None:
         """Record that a request ran to completion, which clears it of the crashes so far."""
         suspicion = self._suspicions.get(digest)
         if suspicion is not None and not self._is_quarantined(digest):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_queues.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_queues.py
@@ -13,7 +13,7 @@
 from ._fairness import OrganisationRounds
 from ._heap import LazyHeap
 from ._shares import Contender, ShareLedger
-from ._types import Waiting
+from ._types import QueuedRequest
 
 queue_policies: Registry[type[QueuePolicy]] = Registry("queue policy")
 """Queue policies by name."""
@@ -21,7 +21,7 @@
 
 @attrs.define(eq=False)
 class _QueuedItem:
-    waiting: Waiting
+    waiting: QueuedRequest
     alive: bool = True
 
 
@@ -119,7 +119,7 @@
             else 0.0
         )
 
-    def push(self, waiting: Waiting, now: float) -> None:
+    def push(self, waiting: QueuedRequest, now: float) -> None:
         """Add a request.
 
         Raises
@@ -136,7 +136,7 @@
         if class_queue.add(item):
             self._organisation_arrived(waiting)
 
-    def pop(self, now: float, class_name: str | None = None) -> Waiting | None:
+    def pop(self, now: float, class_name: str | None = None) -> QueuedRequest | None:
         """Remove and return the next request, of one class if given; None if there is none."""
         contenders = self._contenders(now)
         chosen = class_name or self.choose_class(contenders, self._ledger)
@@ -147,12 +147,12 @@
         self._record_start(item.waiting, contenders)
         return item.waiting
 
-    def peek(self, now: float) -> Waiting | None:
+    def peek(self, now: float) -> QueuedRequest | None:
         """Return the request that :meth:`pop` would return."""
         chosen = self.choose_class(self._contenders(now), self._ledger)
         return self._next_item(chosen).waiting if chosen else None
 
-    def remove(self, request: str, now: float) -> Waiting | None:
+    def remove(self, request: str, now: float) -> QueuedRequest | None:
         """Remove and return a request by its id; None if it is not queued."""
         item = self._items.get(request)
         if item is None:
@@ -160,7 +160,7 @@
         self._discard_item(item)
         return item.waiting
 
-    def expire(self, now: float) -> list[Waiting]:
+    def expire(self, now: float) -> list[QueuedRequest]:
         """Remove and return requests whose deadline or class patience has passed."""
         expired = []
         while (due := self._expiries.peek_key()) is not None and due <= now:
@@ -207,24 +207,24 @@
     def _ahead(self, class_queue: _ClassQueue, organisation: str) -> float:
         return float(class_queue.count)
 
-    def _organisation_arrived(self, waiting: Waiting) -> None:
+    def _organisation_arrived(self, waiting: QueuedRequest) -> None:
         """Handle the first queued request of an organisation in a class."""
         self._ledger.activate(waiting.class_name)
 
-    def _organisation_left(self, waiting: Waiting) -> None:
+    def _organisation_left(self, waiting: QueuedRequest) -> None:
         """Handle the removal of the last queued request of an organisation in a class."""
         if not self._class_queues[waiting.class_name].count:
             del self._class_queues[waiting.class_name]
             self._ledger.deactivate(waiting.class_name)
 
-    def _record_start(self, waiting: Waiting, contenders: Sequence[Contender]) -> None:
+    def _record_start(self, waiting: QueuedRequest, contenders: Sequence[Contender]) -> None:
         """Record that a request was dispatched while the contenders waited."""
         self._ledger.started(waiting.class_name, contenders)
 
     def _next_item(self, class_name: str) -> _QueuedItem:
         return self._class_queues[class_name].begun.peek() or self._choose_item(class_name)
 
-    def _expiry(self, waiting: Waiting) -> float:
+    def _expiry(self, waiting: QueuedRequest) -> float:
         if waiting.begun:
             return waiting.deadline
         patience = self._ledger.record(waiting.class_name).patience_s
@@ -301,15 +301,15 @@
         own = class_queue.counts.get(organisation, 0) + 1
         return own * len(class_queue.counts) / self.weights.get(organisation, 1.0)
 
-    def _organisation_arrived(self, waiting: Waiting) -> None:
+    def _organisation_arrived(self, waiting: QueuedRequest) -> None:
         super()._organisation_arrived(waiting)
         self._class_rounds(waiting.class_name).arrive(waiting.organisation)
 
-    def _organisation_left(self, waiting: Waiting) -> None:
+    def _organisation_left(self, waiting: QueuedRequest) -> None:
         super()._organisation_left(waiting)
         self._class_rounds(waiting.class_name).leave(waiting.organisation)
 
-    def _record_start(self, waiting: Waiting, contenders: Sequence[Contender]) -> None:
+    def _record_start(self, waiting: QueuedRequest, contenders: Sequence[Contender]) -> None:
         super()._record_start(waiting, contenders)
         self._class_rounds(waiting.class_name).served(waiting.organisation)
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_slot_queue.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_slot_queue.py
@@ -8,7 +8,7 @@
 
 from ._queues import queue_policies
 from ._shares import Contender, ShareLedger
-from ._types import Waiting, Work
+from ._types import QueuedRequest, Work
 
 
 def attempt_name(request: str, attempt: int) -> str:
@@ -71,7 +71,7 @@
     def add(self, work: Work, now: float) -> None:
         """Queue work until a place is free."""
         name = attempt_name(work.request, work.attempt)
-        waiting = Waiting(name, work.organisation, work.class_name, now, work.deadline)
+        waiting = QueuedRequest(name, work.organisation, work.class_name, now, work.deadline)
         self._policy.push(waiting, now)
         self._works[name] = work
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_suspicion_store.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_suspicion_store.py
@@ -95,7 +95,7 @@
         return result
 
 
-async def load_until_read(
+async def load_with_retries(
     store: SuspicionStore, clock: Callable[[], float], rng: random.Random
 ) -> list[Suspicion]:
     """Return the suspicions in force, retrying until the table answers."""
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_types.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_types.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Waiting:
+class QueuedRequest:
     """A queued request.
 
     Parameters
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
@@ -17,10 +17,10 @@
 
 from burdockquay_coordination import (
     OPEN_ERA_KEY,
+    AtMostOnceGuard,
+    AtMostOnceResolver,
+    AtMostOnceTicket,
     ClaimEra,
-    OnceGuard,
-    OnceResolver,
-    OnceTicket,
     OutcomeWriter,
     SettledState,
 )
@@ -185,7 +185,7 @@
         super().__init__(cluster, incarnation)
         self.outcomes = OutcomeWriter(self.claims, cluster.clock, retry_s=0.0)
         self.eras = cluster.claim_era(self.claims, cluster.clock)
-        self.guard = OnceGuard(self.claims, self.outcomes, self.eras, incarnation)
+        self.guard = AtMostOnceGuard(self.claims, self.outcomes, self.eras, incarnation)
 
     async def serve(self, run: Run, call: Call) -> None:
         begun = await self.guard.begin(run, self.cluster.clock)
@@ -247,7 +247,7 @@
         call.reported, call.answer = reported, answer
 
 
-def make_run(ticket: OnceTicket, call: Call, attempt: int) -> Run:
+def make_run(ticket: AtMostOnceTicket, call: Call, attempt: int) -> Run:
     return Run(
         request=call.name,
         attempt=attempt,
@@ -283,7 +283,7 @@
         self,
         claim_store: type[ClaimStore] = ClaimStore,
         claim_era: type[ClaimEra] = ClaimEra,
-        resolver: type[OnceResolver] = OnceResolver,
+        resolver: type[AtMostOnceResolver] = AtMostOnceResolver,
         table: type[MemoryTable] = MemoryTable,
         era: int = 0,
     ):
@@ -441,7 +441,7 @@
 
     def look_up_era(self, slot: int) -> None:
         """Start a slot's read of the era of the table."""
-        self.spawn(self.slots[slot].eras.look())
+        self.spawn(self.slots[slot].eras.refresh_era())
         self.run_until_blocked()
 
     def restore_in_time(self, slot: int) -> None:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_admission.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_admission.py
@@ -5,7 +5,7 @@
 from burdockquay_coordination import (
     AdmissionController,
     OrganisationUse,
-    Waiting,
+    QueuedRequest,
     queue_policies,
 )
 from burdockquay_protocol import ErrorKind
@@ -37,7 +37,7 @@
 def fill(queue, count, class_name="draft", organisation="south"):
     for number in range(count):
         name = f"{class_name}-{organisation}-{number}"
-        queue.push(Waiting(name, organisation, class_name, 0.0, 1e9), 0.0)
+        queue.push(QueuedRequest(name, organisation, class_name, 0.0, 1e9), 0.0)
 
 
 def test_outstanding_requests_are_limited_and_released(admission, queue):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_health.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burdockquay_coordination import HealthMonitor, ProbeGate
+from burdockquay_coordination import HealthMonitor, ProbeCircuitBreaker
 from burdockquay_state import InvalidParameterError
 
 
@@ -96,7 +96,7 @@
 
 @given(st.lists(st.booleans()), st.integers(1, 4))
 def test_breaker_closes_only_after_consecutive_successes(results, needed):
-    breaker = ProbeGate(successes_needed=needed)
+    breaker = ProbeCircuitBreaker(successes_needed=needed)
     assert breaker.healthy
     breaker.failed(0.0)
     row = 0
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_membership.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_membership.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from burdockquay_coordination import MembershipBook
+from burdockquay_coordination import MembershipTracker
 from burdockquay_state import GroupRecord, VmEntry, VmState
 
 GROUP = GroupRecord("desk", subset=4)
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def book():
-    book = MembershipBook("e1")
+    book = MembershipTracker("e1")
     book.update_list([slot(number) for number in range(12)], 0.0)
     return book
 
@@ -74,7 +74,7 @@
         )
         assert change.leaving == (vm,)
     else:
-        book.said_leaving(vm, f"{vm}-a", 1.0)
+        book.record_leaving(vm, f"{vm}-a", 1.0)
     assert not book.usable(vm, 1.0)
     assert vm not in names(book.targets(GROUP, 1.0))
     assert len(book.targets(GROUP, 1.0)) == 4
@@ -83,14 +83,14 @@
 def test_shutdown_report_applies_to_one_incarnation(book):
     connect_all(book, 0.0)
     vm = min(names(book.targets(GROUP, 0.0)))
-    book.said_leaving(vm, f"{vm}-a", 1.0)
+    book.record_leaving(vm, f"{vm}-a", 1.0)
     book.connected(vm, f"{vm}-b", 2.0)
     assert book.usable(vm, 2.0)
     # The end of the old connection is detected late and must not affect the new one.
     book.disconnected(vm, f"{vm}-a", 3.0)
     assert book.usable(vm, 3.0)
     assert book.incarnation(vm) == f"{vm}-b"
-    book.said_leaving(vm, f"{vm}-a", 4.0)
+    book.record_leaving(vm, f"{vm}-a", 4.0)
     assert book.usable(vm, 4.0)
 
 
@@ -136,7 +136,7 @@
     """
     due = []
     for number in range(100):
-        book = MembershipBook(f"e{number}")
+        book = MembershipTracker(f"e{number}")
         rng = random.Random(number)
         book.update_list([slot(0)], 0.0)
         for attempt in range(10):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from burdockquay_coordination import HOLD_S
+from burdockquay_coordination import CLAIM_HOLD_S
 from burdockquay_coordination._once_era import ERA_POLL_INTERVAL_S
 from burdockquay_state import ClaimState
 
@@ -52,7 +52,7 @@
     """The claim of a running request is lost, restored by its holder, and then repeated."""
     first = run_until_sent(cluster)
     cluster.restore_in_time(0)
-    cluster.pass_time(HOLD_S)
+    cluster.pass_time(CLAIM_HOLD_S)
     cluster.look_up_era(0)
     cluster.heal()
     cluster.pass_time(ERA_POLL_INTERVAL_S)
@@ -141,7 +141,7 @@
     cluster.return_to_copy()
     for slot in (0, 1):
         cluster.restore_in_time(slot)
-    cluster.pass_time(HOLD_S)
+    cluster.pass_time(CLAIM_HOLD_S)
     cluster.restore_in_time(0)
     cluster.look_up_era(0)
     cluster.heal()
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era_machine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era_machine.py
@@ -6,20 +6,20 @@
 from hypothesis.stateful import precondition, rule, run_state_machine_as_test
 from result import Ok
 
-from burdockquay_coordination import HOLD_S, ClaimEra, OnceResolver
+from burdockquay_coordination import CLAIM_HOLD_S, AtMostOnceResolver, ClaimEra
 from burdockquay_state import ClaimStore, MemoryTable, Rewrite, number_of
 
 from .once_cluster import OracleError, SimulatedCluster
 from .test_once_machine import KEYS, MANY, TWO, OnceMachine
 
-SHORT_S = st.sampled_from([0.5, 1.0, HOLD_S])
+SHORT_S = st.sampled_from([0.5, 1.0, CLAIM_HOLD_S])
 
 
 class OnceEraMachine(OnceMachine):
     """The steps of :class:`OnceMachine`, and copies of the table and restores from them."""
 
     claim_era = ClaimEra
-    resolver = OnceResolver
+    resolver = AtMostOnceResolver
     table = MemoryTable
 
     def __init__(self):
@@ -52,7 +52,7 @@
         self.cluster.return_to_copy()
         for slot in slots:
             self.cluster.restore_in_time(slot)
-        self.cluster.pass_time(HOLD_S)
+        self.cluster.pass_time(CLAIM_HOLD_S)
         for slot in slots:
             self.cluster.look_up_era(slot)
 
@@ -143,7 +143,7 @@
         self._open_era = era
 
 
-class WithoutEraInAnswers(OnceResolver):
+class WithoutEraInAnswers(AtMostOnceResolver):
     """Accepts a row of a later era as evidence about an attempt of an earlier one."""
 
     async def _interpret_row_of_later_era(self, ticket, row, now):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_orders.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_orders.py
@@ -181,9 +181,9 @@
     assert await returning.act(slots[0], ROLE) is OrderState.DONE
     returning.table.return_to(copy)
     assert await returning.act(slots[1], ROLE) is OrderState.WAITING
-    await slots[0].eras.look()
+    await slots[0].eras.refresh_era()
     returning.now += 60.0
-    await slots[0].eras.look()
+    await slots[0].eras.refresh_era()
     assert await returning.act(slots[1], ROLE) is OrderState.DONE
     assert engine.effects.total() == 1
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_placement.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_placement.py
@@ -141,7 +141,7 @@
 @given(st.text(max_size=2000), st.text(max_size=2000))
 def test_overlap_is_the_common_prefix_in_blocks(first, second):
     index = PrefixIndex(blocks_per_vm=100)
-    index.note("vm-1", index.blocks(first), 0.0)
+    index.record_prompt("vm-1", index.blocks(first), 0.0)
     common = 0
     while first[common : common + 1] and first[common] == second[common : common + 1]:
         common += 1
@@ -152,7 +152,7 @@
 
 def test_prefix_index_evicts_the_least_recently_used():
     index = PrefixIndex(blocks_per_vm=3)
-    index.note("vm-1", [1, 2, 3], 0.0)
-    index.note("vm-1", [1, 2], 1.0)
-    index.note("vm-1", [9], 2.0)
+    index.record_prompt("vm-1", [1, 2, 3], 0.0)
+    index.record_prompt("vm-1", [1, 2], 1.0)
+    index.record_prompt("vm-1", [9], 2.0)
     assert index.overlap("vm-1", [1, 2, 3]) == 2
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_quarantine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_quarantine.py
@@ -2,13 +2,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burdockquay_coordination import QuarantineBook, Verdict
+from burdockquay_coordination import QuarantineTracker, Verdict
 from burdockquay_protocol import Suspicion
 
 
 @pytest.fixture
 def book():
-    return QuarantineBook(retention_s=100.0)
+    return QuarantineTracker(retention_s=100.0)
 
 
 def verdicts(book, digests, now=0.0):
@@ -47,7 +47,7 @@
 def test_completed_request_is_cleared(book):
     book.record_crash(["poison", "a"], 0.0)
     report = book.suspicions(0.0)
-    book.note_finished("a", 1.0)
+    book.record_completion("a", 1.0)
     assert book.merge(report, 1.0) == []
     assert verdicts(book, ["poison", "a"], 1.0) == ["suspect", "clear"]
 
@@ -85,7 +85,7 @@
     `late_reports` are the runs in which other suspects take part because the report of the crash
     had not reached the entry.
     """
-    book = QuarantineBook(retention_s=1000.0)
+    book = QuarantineTracker(retention_s=1000.0)
     alone = 0
     for turn, others in enumerate(concurrent_runs):
         if book.verdict("poison", turn) is Verdict.QUARANTINED:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_queues.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_queues.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from burdockquay_coordination import Waiting, queue_policies
+from burdockquay_coordination import QueuedRequest, queue_policies
 from burdockquay_coordination._fairness import QUANTUM_TOKENS, START_TOKENS
 from burdockquay_coordination._shares import STARTS_PER_AGED_TURN_PROTECTED
 from burdockquay_state import ClassRecord
@@ -27,7 +27,7 @@
 
 
 def waiting(number, class_name="question", organisation="north", at=0.0, deadline=FAR):
-    return Waiting(f"r{number}", organisation, class_name, at, deadline)
+    return QueuedRequest(f"r{number}", organisation, class_name, at, deadline)
 
 
 def drain(queue, now=0.0):
@@ -140,7 +140,7 @@
     that the caller has partly received would be truncated.
     """
     queue.push(waiting(1, at=0.0), 0.0)
-    begun = Waiting("r2", "north", "question", -30.0, 60.0, begun=True)
+    begun = QueuedRequest("r2", "north", "question", -30.0, 60.0, begun=True)
     queue.push(begun, 0.0)
     assert queue.expire(10.0) == []
     assert queue.pop(10.0, "question") == begun
--- a/packages/burdockquay-transport/src/burdockquay_transport/_call.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_call.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from burdockquay_coordination import OnceTicket
+from burdockquay_coordination import AtMostOnceTicket
 from burdockquay_protocol import ErrorKind, RequestError, Run, RunState
 from burdockquay_state import ClassRecord, OrganisationRecord, RouteRecord
 
@@ -117,7 +117,7 @@
     spec : CallRequest
     started_at : float
         When the caller's request was complete, seconds on the clock of the entry.
-    ticket : OnceTicket
+    ticket : AtMostOnceTicket
         Values against which the claim row of a non-idempotent request is checked.
 
     Attributes
@@ -138,7 +138,7 @@
 
     spec: CallRequest
     started_at: float
-    ticket: OnceTicket
+    ticket: AtMostOnceTicket
     inbox: Inbox = attrs.field(factory=Inbox)
     attempt: int = 0
     link: SlotLink | None = None
--- a/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
@@ -11,9 +11,9 @@
 
 from burdockquay_coordination import (
     SETTLED_KINDS,
+    AtMostOnceResolver,
     LatencyTarget,
-    OnceResolver,
-    QuarantineBook,
+    QuarantineTracker,
     RetryBudget,
     Settled,
     SettledState,
@@ -82,8 +82,8 @@
 
     Parameters
     ----------
-    resolver : OnceResolver
-    quarantine : QuarantineBook
+    resolver : AtMostOnceResolver
+    quarantine : QuarantineTracker
     budget : RetryBudget
     ledger : UsageLedger
     metrics : MetricsSink
@@ -92,8 +92,8 @@
 
     def __init__(
         self,
-        resolver: OnceResolver,
-        quarantine: QuarantineBook,
+        resolver: AtMostOnceResolver,
+        quarantine: QuarantineTracker,
         budget: RetryBudget,
         ledger: UsageLedger,
         metrics: MetricsSink,
@@ -332,7 +332,7 @@
         spec = call.spec
         names = (spec.organisation.name, spec.service_class.name)
         if complete:
-            self.quarantine.note_finished(spec.digest, self.clock.wall())
+            self.quarantine.record_completion(spec.digest, self.clock.wall())
             self.ledger.add_generated(*names, len(call.delivered))
         else:
             self.ledger.add_wasted(*names, len(call.delivered))
--- a/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
@@ -11,10 +11,10 @@
     HealthMonitor,
     PlacementRequest,
     PrefixIndex,
+    QueuedRequest,
     QueuePolicy,
-    Waiting,
     classes_of_group,
-    is_movable,
+    is_preemptible,
     placement_policies,
     queue_policies,
 )
@@ -229,7 +229,7 @@
         spec = call.spec
         self._calls[spec.request] = call
         self._queue.push(
-            Waiting(
+            QueuedRequest(
                 spec.request,
                 spec.organisation.name,
                 spec.service_class.name,
@@ -266,7 +266,7 @@
     def _start(self, call: Call, link: SlotLink, grant: int, now: float) -> None:
         if call.attempt == 0:
             self.admission.started(call.spec.service_class.name, now - call.started_at, now)
-        self.prefixes.note(link.vm, call.spec.prefix, now)
+        self.prefixes.record_prompt(link.vm, call.spec.prefix, now)
         link.start(call, grant, now)
 
     def _has_waiting_ahead(self, call: Call) -> bool:
@@ -320,7 +320,7 @@
         """Return whether the slots may pause requests of a class to make room."""
         group = self.snapshot.groups.get(self.group)
         pauses = group is not None and group.upstream_kind in PAUSING_KINDS
-        return pauses and self.snapshot.policy.preemption and is_movable(record)
+        return pauses and self.snapshot.policy.preemption and is_preemptible(record)
 
     def _choose(self, call: Call, links: list[SlotLink], now: float) -> SlotLink | None:
         if not links:
--- a/packages/burdockquay-transport/src/burdockquay_transport/_era_follower.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_era_follower.py
@@ -46,7 +46,7 @@
         if len(self.eras.claims.memory):
             await self._refresh_era()
         if not self.eras.is_open:
-            await self.eras.look()
+            await self.eras.refresh_era()
         self._log_changes()
 
     async def _refresh_era(self) -> None:
--- a/packages/burdockquay-transport/src/burdockquay_transport/_order_follower.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_order_follower.py
@@ -16,7 +16,7 @@
     OrderRunner,
     OrderState,
     OrderTarget,
-    concerns,
+    applies_to_engine,
 )
 from burdockquay_state import PlacementRecord, Snapshot
 
@@ -159,7 +159,7 @@
         records = [
             record
             for record in self.snapshot().placements.values()
-            if concerns(record, self.group, self.vm)
+            if applies_to_engine(record, self.group, self.vm)
         ]
         for record in records:
             key = _key(record)
@@ -173,7 +173,7 @@
             self._record_state(record, state)
         in_force = {_key(record) for record in records}
         self._backoffs = {key: self._backoffs[key] for key in in_force & self._backoffs.keys()}
-        await self.runner.turns.tend(self.clock.now())
+        await self.runner.turns.release_due(self.clock.now())
 
     def _record_state(self, record: PlacementRecord, state: OrderState) -> None:
         key = _key(record)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
@@ -11,7 +11,7 @@
 from websockets.asyncio.client import connect
 from websockets.exceptions import ConnectionClosed, WebSocketException
 
-from burdockquay_coordination import Candidate, MembershipBook
+from burdockquay_coordination import Candidate, MembershipTracker
 from burdockquay_protocol import (
     Cancel,
     ClassDemand,
@@ -70,7 +70,7 @@
         Identity of this entry.
     key : bytes
         Shared key of all processes.
-    book : MembershipBook
+    book : MembershipTracker
     sync : ConfigurationSync
     listener : LinkListener
     traffic : TrafficCounts
@@ -85,7 +85,7 @@
         target: VmEntry,
         identity: Identity,
         key: bytes,
-        book: MembershipBook,
+        book: MembershipTracker,
         sync: Any,
         listener: LinkListener,
         traffic: TrafficCounts,
@@ -232,7 +232,7 @@
         self.target = attrs.evolve(
             self.target, vm=peer.vm, failure_domain=peer.failure_domain, group=peer.group
         )
-        self.book.learn(self.target, self.clock.now())
+        self.book.add_configured_slot(self.target, self.clock.now())
 
     def _on_connected(self, connection: PeerConnection) -> None:
         self.connection = connection
@@ -295,6 +295,6 @@
         self._outstanding_at_status = self.outstanding
         self.full_classes = set()
         if message.leaving:
-            self.book.said_leaving(self.vm, self.connection.peer.incarnation, self.clock.now())
+            self.book.record_leaving(self.vm, self.connection.peer.incarnation, self.clock.now())
         self.sync.fetch_if_behind(self.connection, message.revision)
         self.listener.link_status(self)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_slot_runner.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_slot_runner.py
@@ -9,7 +9,7 @@
 import attrs
 from result import Err
 
-from burdockquay_coordination import OnceGuard, PlaceGrant, SlotScheduler, Work
+from burdockquay_coordination import AtMostOnceGuard, PlaceGrant, SlotScheduler, Work
 from burdockquay_protocol import (
     PART_BODY,
     PART_END,
@@ -93,7 +93,7 @@
     ----------
     scheduler : SlotScheduler
     client : UpstreamClient
-    guard : OnceGuard
+    guard : AtMostOnceGuard
         Claims the keys of non-idempotent requests.
     clock : Clock
     find_priority : callable
@@ -108,7 +108,7 @@
         self,
         scheduler: SlotScheduler,
         client: UpstreamClient,
-        guard: OnceGuard,
+        guard: AtMostOnceGuard,
         clock: Clock,
         find_priority: Callable[[str], int],
         send_grant: Callable[[PlaceGrant, Grant], None],
--- a/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable, Iterable, Sequence
 
-from burdockquay_coordination import QuarantineBook, SuspicionStore, load_until_read
+from burdockquay_coordination import QuarantineTracker, SuspicionStore, load_with_retries
 from burdockquay_protocol import Suspicion, Suspicions
 from burdockquay_state import QuarantineWithdrawalRecord, TableService
 
@@ -30,7 +30,7 @@
 
     Attributes
     ----------
-    book : QuarantineBook
+    book : QuarantineTracker
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.clock = clock
         self.rng = rng
         self.find_peers = find_peers
-        self.book = QuarantineBook(RETENTION_S)
+        self.book = QuarantineTracker(RETENTION_S)
         self.store = SuspicionStore(table)
 
     def active(self) -> list[Suspicion]:
@@ -52,7 +52,7 @@
 
     async def load(self) -> None:
         """Load the suspicions that the table holds from before the start of this process."""
-        loaded = await load_until_read(self.store, self.clock.wall, self.rng)
+        loaded = await load_with_retries(self.store, self.clock.wall, self.rng)
         self.book.merge(loaded, self.clock.wall())
 
     def send_all(self, peer: PeerConnection) -> None:
--- a/packages/burdockquay-transport/src/burdockquay_transport/_upstream_health.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_upstream_health.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from burdockquay_coordination import ProbeGate, Work
+from burdockquay_coordination import ProbeCircuitBreaker, Work
 
 from ._clock import Clock
 from ._events import Event, log_event
@@ -98,7 +98,7 @@
         self.probe_interval_s = probe_interval_s
         self.on_change = on_change
         self.on_crash = on_crash
-        self._gate = ProbeGate()
+        self._gate = ProbeCircuitBreaker()
         self._crashed_at = -CRASH_WINDOW_S
         self._checking: asyncio.Task | None = None
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/entry.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/entry.py
@@ -10,8 +10,8 @@
 
 from burdockquay_coordination import (
     AdmissionController,
-    MembershipBook,
-    OnceResolver,
+    AtMostOnceResolver,
+    MembershipTracker,
     RetryBudget,
     RouteTable,
     UsageLedger,
@@ -80,13 +80,13 @@
         self._connections_stable = False
         self._refusing = False
         self._vm_list_healthy = True
-        self._book = MembershipBook(settings.vm)
+        self._book = MembershipTracker(settings.vm)
         self.admission = AdmissionController()
         self.budget = RetryBudget(self.snapshot.policy.retry_ratio, RETRY_BURST)
         self.routes = RouteTable(self.snapshot)
         claims = ClaimStore(self._platform.table, self._platform.objects)
         self.runner = CallRunner(
-            OnceResolver(claims),
+            AtMostOnceResolver(claims),
             self.suspicions.book,
             self.budget,
             self.ledger,
--- a/packages/burdockquay-transport/src/burdockquay_transport/slot.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/slot.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from burdockquay_coordination import (
+    AtMostOnceGuard,
     ClaimEra,
     LoadTurns,
-    OnceGuard,
     OrderRunner,
     OutcomeWriter,
     PlaceGrant,
@@ -139,7 +139,7 @@
         holder = claim_incarnation(settings.vm, self.identity.incarnation)
         eras = ClaimEra(claims, self._clock.now)
         self._eras = EraFollower(eras, self._clock)
-        self._guard = OnceGuard(claims, self._outcomes, eras, holder)
+        self._guard = AtMostOnceGuard(claims, self._outcomes, eras, holder)
         self._expiry = ClaimExpiry(
             self._platform, holder, settings.claim_retention_s, self._clock, self._rng
         )
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_slot_background.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_slot_background.py
@@ -56,7 +56,7 @@
         self.sent = 0
         self.may_end = asyncio.Event()
 
-    async def tend(self, now):
+    async def release_due(self, now):
         pass
 
     async def act(self, record, wall, clock):
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_restore.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_restore.py
@@ -8,7 +8,7 @@
 import cbor2
 import pytest
 
-from burdockquay_coordination import HOLD_S, OPEN_ERA_KEY, ClaimEra, ConfigurationHolder
+from burdockquay_coordination import CLAIM_HOLD_S, OPEN_ERA_KEY, ClaimEra, ConfigurationHolder
 from burdockquay_state import (
     ClaimRequest,
     ClaimStore,
@@ -114,7 +114,7 @@
     other = attrs.evolve(requests[1], incarnation="slot-2", expected_version=table.absent)
     assert (await ClaimStore(table, MemoryObjectStore()).claim(other, now=0.0)).is_ok()
     await follower.follow()
-    clock.time = HOLD_S
+    clock.time = CLAIM_HOLD_S
     await follower.follow()
     text = log.getvalue()
     assert "E1226 table_era_changed era=2 before=1 claims=2" in text
