--- a/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
@@ -30,8 +30,8 @@
 from ._early_listener import BACKLOG
 from ._events import Event, describe_fault, log_event
 from ._metrics import REQUESTS, refusal_counter
+from ._pending_connections import accept_pending
 from ._status_http import add_status_routes
-from ._take_in import accept_waiting
 
 if TYPE_CHECKING:
     from .entry import Entry
@@ -125,7 +125,7 @@
     async def close(self) -> None:
         """Refuse pending connections and requests, then stop listening."""
         self._aborting = True
-        await accept_waiting(self._listening)
+        await accept_pending(self._listening)
         if self._request_tasks:
             await asyncio.wait(set(self._request_tasks), timeout=ANSWER_TIMEOUT_S)
         await self._runner.cleanup()
--- a/packages/burdockquay-transport/src/burdockquay_transport/_log_pipe.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_log_pipe.py
@@ -124,11 +124,11 @@
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
-            self.flush_once()
+            self.flush_available()
             return
         self._timer = loop.call_later(FLUSH_INTERVAL_S, self.flush)
 
-    def flush_once(self) -> None:
+    def flush_available(self) -> None:
         """Write as much as the reader accepts now, without scheduling the rest."""
         try:
             written = os.write(self.fd, self._buffer)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
@@ -62,7 +62,7 @@
 HEARTBEAT_S = 2.0
 """Idle time of a connection after which a heartbeat is sent, seconds."""
 
-SILENCE_S = 6.5
+RECEIVE_TIMEOUT_S = 6.5
 """Receive timeout after which a connection is aborted, seconds."""
 
 
@@ -379,7 +379,7 @@
     count("peer.fault.out_of_order")
 
 
-async def greet_peer(
+async def initiate_handshake(
     websocket: Any, identity: Identity, key: bytes, traffic: TrafficCounts
 ) -> Result[PeerConnection, str]:
     """Run the handshake as the process that opened the connection.
@@ -430,7 +430,7 @@
     flush_interval_s: float,
     traffic: TrafficCounts,
 ) -> Result[PeerConnection, str]:
-    """Run the handshake as the process that accepted the connection; see :func:`greet_peer`."""
+    """Run the handshake as the accepting process; see :func:`initiate_handshake`."""
     received = await _receive_one(websocket, Hello)
     if isinstance(received, Err):
         return received
--- a/packages/burdockquay-transport/src/burdockquay_transport/_take_in.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_pending_connections.py
@@ -13,7 +13,7 @@
 one to read, one to wake the task of the connection, one for that task."""
 
 
-async def accept_waiting(listening: socket.socket) -> None:
+async def accept_pending(listening: socket.socket) -> None:
     """Accept all connections in the queue of a listening socket, and read their data.
 
     Connections that are not accepted are reset when the socket is closed, even if their request
@@ -30,10 +30,10 @@
         if not poll.poll(0):
             break
         await asyncio.sleep(0)
-    await read_what_came()
+    await read_pending()
 
 
-async def read_what_came() -> None:
+async def read_pending() -> None:
     """Let the event loop read the data in the sockets and begin to handle it."""
     for _ in range(READ_ITERATIONS):
         await asyncio.sleep(0)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
@@ -34,12 +34,12 @@
 from ._peer import (
     HANDSHAKE_TIMEOUT_S,
     HEARTBEAT_S,
-    SILENCE_S,
+    RECEIVE_TIMEOUT_S,
     WEBSOCKET_OPTIONS,
     Identity,
     PeerConnection,
     TrafficCounts,
-    greet_peer,
+    initiate_handshake,
 )
 
 
@@ -204,7 +204,7 @@
         self._unreachable = True
 
     async def _serve(self, websocket: Any) -> None:
-        handshake = await greet_peer(websocket, self.identity, self.key, self.traffic)
+        handshake = await initiate_handshake(websocket, self.identity, self.key, self.traffic)
         if isinstance(handshake, Err):
             log_event(Event.HANDSHAKE_REFUSED, vm=self.vm, reason=handshake.err())
             self.count("peer.handshake_refused")
@@ -242,7 +242,7 @@
             log_event(Event.PEER_INCARNATION_CHANGED, vm=self.vm, incarnation=incarnation)
         self.book.connected(self.vm, incarnation, self.clock.now())
         log_event(Event.PEER_CONNECTED, vm=self.vm, incarnation=incarnation)
-        connection.keep_alive(HEARTBEAT_S, SILENCE_S, self.sync.heartbeat)
+        connection.keep_alive(HEARTBEAT_S, RECEIVE_TIMEOUT_S, self.sync.heartbeat)
         self.sync.add_peer(connection)
         self.listener.link_up(self)
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/__init__.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/__init__.py
@@ -6,7 +6,7 @@
 
 from burdockquay_protocol import ChangedRow
 
-from ._headers import pass_on_headers
+from ._headers import end_to_end_headers
 from ._platform import (
     AnswerFacts,
     CallerRequest,
@@ -47,5 +47,5 @@
     "UpstreamSource",
     "forwarding_platforms",
     "load_adapters",
-    "pass_on_headers",
+    "end_to_end_headers",
 ]
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_answers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_answers.py
@@ -12,7 +12,7 @@
 from ._call import Answered, Broke, ForwardCall, NotRun, Outcome
 from ._connections import SENT_ERRORS, BrokenError, check_body_end, read_body
 from ._event_stream import EventSplitter, StreamEvent
-from ._headers import pass_on_headers
+from ._headers import end_to_end_headers
 from ._platform import AnswerFacts
 from ._state import ForwarderState
 
@@ -74,7 +74,7 @@
             status=response.status,
             reason=response.reason,
             body=body,
-            headers=pass_on_headers(response.headers),
+            headers=end_to_end_headers(response.headers),
         )
         if response.status < 500 and response.status not in NOT_RUN_STATUSES:
             upstream.health.record_success(self.state.clock.now())
@@ -146,7 +146,7 @@
         answer = web.StreamResponse(
             status=response.status,
             reason=response.reason,
-            headers=pass_on_headers(response.headers),
+            headers=end_to_end_headers(response.headers),
         )
         if self.state.leaving:
             answer.force_close()
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
@@ -147,7 +147,7 @@
     )
 
 
-async def settle_upstreams(state: ForwarderState) -> None:
+async def remove_vanished_upstreams(state: ForwarderState) -> None:
     """Remove vanished upstreams once the list can be trusted again, until cancelled."""
     while True:
         await asyncio.sleep(SETTLE_INTERVAL_S)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_figures.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_forwarder_metrics.py
@@ -19,7 +19,7 @@
 """Buckets for the ratio of the time to first token to its prediction; 1 is an exact prediction."""
 
 
-class Figures:
+class ForwarderMetrics:
     """All metrics of one process."""
 
     def __init__(self):
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_headers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_headers.py
@@ -24,7 +24,7 @@
 """Hop-by-hop headers, and the content length, which is set again on the next connection."""
 
 
-def pass_on_headers(headers: Mapping[str, str], drop: Collection[str] = ()) -> CIMultiDict[str]:
+def end_to_end_headers(headers: Mapping[str, str], drop: Collection[str] = ()) -> CIMultiDict[str]:
     """Return the end-to-end headers of a message, for the next connection.
 
     Parameters
@@ -37,7 +37,7 @@
     Examples
     --------
     >>> headers = {"Connection": "close, X-Hop", "X-Hop": "1", "X-End": "2"}
-    >>> dict(pass_on_headers(headers))
+    >>> dict(end_to_end_headers(headers))
     {'X-End': '2'}
     """
     named = {part.strip().lower() for part in headers.get("Connection", "").split(",")}
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_ingress.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_ingress.py
@@ -19,7 +19,7 @@
 from .._call_error import CallError
 from .._early_listener import BACKLOG, EarlyListener
 from .._events import Event, describe_fault, log_event
-from .._take_in import accept_waiting, read_what_came
+from .._pending_connections import accept_pending, read_pending
 from ._arrival import STARTUP_BACKLOG_S, ArrivalClock
 from ._call import ForwardCall
 from ._caller_connection import CallerConnection, CallerServer
@@ -41,7 +41,7 @@
 """Time after which an idle connection of a caller is closed, seconds; longer than callers reuse
 one, so that no request is sent on a connection that is being closed."""
 
-WRITE_S = 0.1
+ANSWER_WRITE_S = 0.1
 """Time to write an answer that is ready, seconds; what a slow reader has not received by then is in
 the buffer of the connection."""
 
@@ -110,7 +110,7 @@
         await self._site.start()
         self._port = self._runner.addresses[0][1]
 
-    async def refuse_new(self) -> None:
+    async def stop_accepting(self) -> None:
         """Accept no new connection, and close each connection once its answer is written.
 
         A request that arrives on a keep-alive connection much later would be cut off by the end of
@@ -118,10 +118,10 @@
         """
         await self._stop_listening()
         # An answer that has just become ready may not have been written to the socket yet.
-        await asyncio.sleep(WRITE_S)
+        await asyncio.sleep(ANSWER_WRITE_S)
         # Read the requests that arrived while this process was busy before anything is closed:
         # otherwise their callers would get neither an answer nor a refusal.
-        await read_what_came()
+        await read_pending()
         for connection in self._server.connections:
             if connection.is_idle and connection.transport is not None:
                 connection.transport.close()
@@ -134,7 +134,7 @@
             else:
                 await asyncio.sleep(UNFINISHED_POLL_S)
 
-    async def answer_all(self) -> None:
+    async def answer_unfinished(self) -> None:
         """Cancel the running calls, and send an error for each whose answer has not begun.
 
         A caller whose connection is closed instead cannot tell whether its request has run.
@@ -142,24 +142,24 @@
         # From here on, each request is refused as soon as it is read.
         self._has_ended = True
         await self._stop_listening()
-        await read_what_came()
+        await read_pending()
         for task in self._handling:
             task.cancel()
         if self._answering:
             await asyncio.wait(set(self._answering), timeout=FINAL_ANSWERS_TIMEOUT_S)
-        partial = self._parts()
+        partial = self._partial_heads()
         for connection in partial:
             leaving = RequestError(ErrorKind.LEAVING)
             connection.refuse_partial_head(
                 self._refusals.answer(None, self.state.clock.now(), leaving)
             )
         if partial:
-            await asyncio.sleep(WRITE_S)
+            await asyncio.sleep(ANSWER_WRITE_S)
 
     async def _stop_listening(self) -> None:
         if self._refuses_new:
             return
-        await accept_waiting(self._listening)
+        await accept_pending(self._listening)
         self._refuses_new = True
         await self._site.stop()
 
@@ -173,7 +173,7 @@
             for connection in self._server.connections
         )
 
-    def _parts(self) -> list[CallerConnection]:
+    def _partial_heads(self) -> list[CallerConnection]:
         """Return the connections on which the head of a request was partly received."""
         return [
             connection for connection in self._server.connections if connection.has_partial_head
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
@@ -121,7 +121,7 @@
         self._legacy_peers: list[PeerConnection] = []
         self._near_watch = RelaySelector()
         self._far_watches: dict[str, RelaySelector] = defaultdict(RelaySelector)
-        self._chosen: str | None = None
+        self._chosen_relay: str | None = None
         self._near: list[str] = []
         self._received_at = float("-inf")
         self._far: list[str] = []
@@ -132,14 +132,14 @@
     @property
     def is_relay(self) -> bool:
         """Whether this process adds up the loads of its failure domain."""
-        return self._chosen == self.identity.incarnation
+        return self._chosen_relay == self.identity.incarnation
 
     @property
     def targets(self) -> RelayTargets:
         """The peers to which this process sends now."""
         peers = self._peers
         return RelayTargets(
-            None if self.is_relay else peers.get(self._chosen),
+            None if self.is_relay else peers.get(self._chosen_relay),
             {name: peers[name] for name in self._near if name in peers},
             {name: peers[name] for name in self._far if name in peers},
         )
@@ -149,7 +149,7 @@
         return now - self._received_at
 
     @property
-    def served(self) -> int:
+    def follower_count(self) -> int:
         """Number of processes that use this one as their relay."""
         return len(self._near)
 
@@ -175,7 +175,7 @@
         }
         self._repeater.reset()
 
-    def tell(self) -> None:
+    def send_loads(self) -> None:
         """Send own loads to the relay, and as a relay pass on those of others."""
         now = self.state.clock.now()
         self._choose_relay(now)
@@ -188,8 +188,8 @@
         self._recent_parts.extend((now, load) for load in loads if load.parts)
         self._receive_for_relaying(self.identity.incarnation, loads, now)
         recipients = list(self._legacy_peers)
-        if not self.is_relay and self._chosen in self._peers:
-            recipients.append(self._peers[self._chosen])
+        if not self.is_relay and self._chosen_relay in self._peers:
+            recipients.append(self._peers[self._chosen_relay])
         if recipients and self._repeater.is_due(loads, now):
             self.post(recipients, UpstreamLoads(loads))
         self._send_pending(now)
@@ -218,16 +218,16 @@
     def receive_elsewhere(self, peer: PeerConnection, message: LoadsElsewhere) -> None:
         """Apply the loads of all other processes as added up by a relay."""
         self._near_watch.record_relay_message(peer.peer.incarnation, self.state.clock.now())
-        if peer.peer.incarnation == self._chosen:
+        if peer.peer.incarnation == self._chosen_relay:
             self._apply(ELSEWHERE, message.loads, message.is_whole)
 
     def _choose_relay(self, now: float) -> None:
         me = self.identity.incarnation
         chosen = self._near_watch.choose(self._ranked, now, me)
-        if chosen == self._chosen:
+        if chosen == self._chosen_relay:
             return
         was_relay = self.is_relay
-        self._chosen = chosen
+        self._chosen_relay = chosen
         self._repeater.reset()
         self._requeue_recent_parts(now)
         if was_relay or self.is_relay:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
@@ -33,13 +33,13 @@
 from .._peer import (
     HANDSHAKE_TIMEOUT_S,
     HEARTBEAT_S,
-    SILENCE_S,
+    RECEIVE_TIMEOUT_S,
     WEBSOCKET_OPTIONS,
     EncodedMessage,
     Identity,
     PeerConnection,
     TrafficCounts,
-    greet_peer,
+    initiate_handshake,
 )
 from .._peer_server import PeerServer
 from ._load_sharing import ChangeRepeater, LoadSharing
@@ -106,13 +106,13 @@
         self._registry: MemberRegistry = state.platform.members()
         self._links: dict[str, asyncio.Task] = {}
         self._members = MemberBook()
-        self._up: dict[str, PeerConnection] = {}
+        self._peer_connections: dict[str, PeerConnection] = {}
         self._bound: socket.socket | None = None
         self._server: PeerServer | None = None
         self._key = b""
         self._store_restored = asyncio.Event()
         self._rejoining: asyncio.Task | None = None
-        state.platform.exchange.tell = self._post_changes
+        state.platform.exchange.send_changes = self._broadcast_changes
         state.platform.exchange.on_restored = self._on_store_restored
         self._loads = LoadSharing(state, identity, post_all)
         self._outcomes = OutcomeSharing(state, identity, post_all)
@@ -136,7 +136,7 @@
     @property
     def connected(self) -> int:
         """Number of other forwarders that are connected."""
-        return len(self._up)
+        return len(self._peer_connections)
 
     def loads_age(self, now: float) -> float:
         """Return the time since this process last received the loads of others, seconds."""
@@ -165,7 +165,7 @@
 
     async def close(self) -> None:
         """Close all connections, and abort those of peers that do not answer."""
-        peers = list(self._up.values())
+        peers = list(self._peer_connections.values())
         closing = asyncio.create_task(self._close_all())
         _, late = await asyncio.wait([closing], timeout=CLOSE_TIMEOUT_S)
         if late:
@@ -302,7 +302,9 @@
             async with connect(
                 url, open_timeout=HANDSHAKE_TIMEOUT_S, proxy=None, **WEBSOCKET_OPTIONS
             ) as websocket:
-                greeted = await greet_peer(websocket, self.identity, self._key, self.traffic)
+                greeted = await initiate_handshake(
+                    websocket, self.identity, self._key, self.traffic
+                )
                 if isinstance(greeted, Err):
                     log_event(Event.HANDSHAKE_REFUSED, vm=member.vm, reason=greeted.err())
                     return False
@@ -323,10 +325,10 @@
                 self._remove_connection(peer)
 
     def _add_connection(self, peer: PeerConnection) -> None:
-        self._up[peer.peer.incarnation] = peer
+        self._peer_connections[peer.peer.incarnation] = peer
         # A broken link delivers nothing, not even the end of the connection. Without heartbeats,
         # the peer would count as connected.
-        peer.keep_alive(HEARTBEAT_S, SILENCE_S, lambda: Heartbeat(0))
+        peer.keep_alive(HEARTBEAT_S, RECEIVE_TIMEOUT_S, lambda: Heartbeat(0))
         log_event(Event.PEER_CONNECTED, vm=peer.peer.vm, incarnation=peer.peer.incarnation)
         self._key_repeater.reset()
         newest = self.state.standing.newest
@@ -336,8 +338,8 @@
         self._update_peers()
 
     def _remove_connection(self, peer: PeerConnection) -> None:
-        if self._up.get(peer.peer.incarnation) is peer:
-            del self._up[peer.peer.incarnation]
+        if self._peer_connections.get(peer.peer.incarnation) is peer:
+            del self._peer_connections[peer.peer.incarnation]
             self.state.others.forget(peer.peer.incarnation)
             log_event(Event.PEER_DISCONNECTED, vm=peer.peer.vm)
             self._update_peers()
@@ -349,18 +351,22 @@
         """
         exchange = self.state.platform.exchange
         needed = TableChanges if exchange.era.newest else EralessTableChanges
-        others = [name for name, peer in self._up.items() if peer.version >= needed.since]
-        exchange.note_peers(self.identity.incarnation, others)
-        self._loads.set_peers(self._up)
-        near = rank_processes(self.identity.incarnation, self._up)[:KEY_STATUS_RECIPIENTS]
-        self._key_status_recipients = [self._up[name] for name in near]
+        others = [
+            name for name, peer in self._peer_connections.items() if peer.version >= needed.since
+        ]
+        exchange.choose_pollers(self.identity.incarnation, others)
+        self._loads.set_peers(self._peer_connections)
+        near = rank_processes(self.identity.incarnation, self._peer_connections)[
+            :KEY_STATUS_RECIPIENTS
+        ]
+        self._key_status_recipients = [self._peer_connections[name] for name in near]
 
     async def _keep_sending(self) -> None:
         while True:
             is_busy = self.state.book.in_use() or self._loads.is_relay
             shortest_s = LOADS_INTERVAL_S if is_busy else IDLE_LOADS_INTERVAL_S
-            await asyncio.sleep(max(shortest_s, self._loads.served / MAX_MESSAGES_PER_S))
-            self._loads.tell()
+            await asyncio.sleep(max(shortest_s, self._loads.follower_count / MAX_MESSAGES_PER_S))
+            self._loads.send_loads()
             self._outcomes.send(self._loads.targets)
             self._send_key_status()
 
@@ -375,18 +381,24 @@
             post_all(self._key_status_recipients, NewestConfiguration(newest))
 
     def _post(self, message: Any) -> None:
-        post_all(self._up.values(), message)
+        post_all(self._peer_connections.values(), message)
 
-    def _post_changes(self, message: TableChanges) -> None:
+    def _broadcast_changes(self, message: TableChanges) -> None:
         """Send changes of a table to all peers.
 
         A peer of a release without eras receives them only while the store has none: it would take
         the revisions of one era for those of another.
         """
-        current = [peer for peer in self._up.values() if peer.version >= TableChanges.since]
+        current = [
+            peer for peer in self._peer_connections.values() if peer.version >= TableChanges.since
+        ]
         post_all(current, message)
-        if message.era == 0 and len(current) < len(self._up):
-            former = [peer for peer in self._up.values() if peer.version < TableChanges.since]
+        if message.era == 0 and len(current) < len(self._peer_connections):
+            former = [
+                peer
+                for peer in self._peer_connections.values()
+                if peer.version < TableChanges.since
+            ]
             post_all(former, message.without_era())
 
     def _receive_keys(self, peer: PeerConnection, message: KeysHonoured) -> None:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
@@ -23,7 +23,7 @@
 from .._clock import Clock
 from ._connections import UpstreamConnections
 from ._dispatch import PromptDispatcher
-from ._figures import Figures
+from ._forwarder_metrics import ForwarderMetrics
 from ._platform import ForwardingPlatform
 from ._settings import ForwarderSettings
 
@@ -74,10 +74,10 @@
         self.others = PeerAvailability()
         self.connections = UpstreamConnections()
         self.leaving = False
-        self.metrics = Figures()
+        self.metrics = ForwarderMetrics()
         self.broadcast_crash: Callable[[str, list[str]], None] = lambda incarnation, digests: None
         self._unread = set(REQUIRED_READS)
-        self._knows_all = asyncio.Event()
+        self._required_reads_done = asyncio.Event()
         self._dispatchers: dict[str, PromptDispatcher] = {}
         self._budgets: dict[str, RetryWindow] = {}
         self._losses: dict[str, LossRate] = {}
@@ -92,7 +92,7 @@
         """
         self._unread.discard(what)
         if not self._unread:
-            self._knows_all.set()
+            self._required_reads_done.set()
 
     async def wait_for_required_reads(self) -> None:
         """Wait a short time for the readings that the process needs to serve.
@@ -103,7 +103,7 @@
         if self._unread:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(REQUIRED_READS_TIMEOUT_S):
-                    await self._knows_all.wait()
+                    await self._required_reads_done.wait()
 
     def apply(self, config: ForwardConfig) -> bool:
         """Apply a configuration unless a newer one is in force; return whether it was applied."""
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_table_feed.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_table_feed.py
@@ -79,7 +79,7 @@
         """
 
     @abstractmethod
-    def moment_of(self, store_s: float, era: int) -> float | None:
+    def to_local_time(self, store_s: float, era: int) -> float | None:
         """Convert a time on the platform's clock to the clock of this process.
 
         Parameters
@@ -174,7 +174,7 @@
         self.rng = rng
         self.switches = switches
         self.era = StoreEra()
-        self.tell: Callable[[TableChanges], None] = lambda message: None
+        self.send_changes: Callable[[TableChanges], None] = lambda message: None
         self.on_restored: Callable[[], None] = lambda: None
         self._feeds: dict[str, TableFeed] = {}
 
@@ -203,7 +203,7 @@
             feed.on_store_restored(now)
         self.on_restored()
 
-    def note_peers(self, me: str, others: Collection[str]) -> None:
+    def choose_pollers(self, me: str, others: Collection[str]) -> None:
         """Choose the pollers of each table again, by the incarnations of connected processes."""
         for table, feed in self._feeds.items():
             feed.set_poller(is_poller(table, me, others))
@@ -382,7 +382,7 @@
         Its rows are used in both cases. A process that cannot reach the store cannot relate the
         clock of a new era to its own.
         """
-        valid_at = self.store.moment_of(message.store_s, message.era)
+        valid_at = self.store.to_local_time(message.store_s, message.era)
         return float("-inf") if valid_at is None else valid_at
 
     def _last_failure_at(self, message: TableChanges) -> float:
@@ -471,7 +471,7 @@
         if sum(len(row.value or b"") for row in rows) > MAX_BROADCAST_BYTES:
             after, rows = reading.position, ()
         steady_s = self.poll_schedule.steady_s(self.store.now())
-        self.exchange.tell(
+        self.exchange.send_changes(
             TableChanges(
                 self.table,
                 reading.position.era,
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/forwarder.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/forwarder.py
@@ -17,7 +17,7 @@
 from .._early_listener import EarlyListener, listen_early
 from .._events import Event, log_event
 from .._status_http import StatusServer, serve_status
-from ._following import follow_configuration, follow_upstreams, settle_upstreams
+from ._following import follow_configuration, follow_upstreams, remove_vanished_upstreams
 from ._ingress import Ingress
 from ._platform import PlatformAddress, forwarding_platforms, load_adapters
 from ._settings import ForwarderSettings
@@ -112,7 +112,7 @@
             self._expose,
         )
         self._mesh = self._open_mesh()
-        for work in (follow_configuration, follow_upstreams, settle_upstreams):
+        for work in (follow_configuration, follow_upstreams, remove_vanished_upstreams):
             self._tasks.spawn(work(self._state))
         log_event(
             Event.PROCESS_LISTENING,
@@ -193,18 +193,18 @@
             limit_s = settings.stop_limit_s - STOP_MARGIN_S - late_s
             async with asyncio.timeout(max(0.0, limit_s)):
                 await asyncio.sleep(max(0.0, settings.leave_delay_s - late_s))
-                await self._ingress.refuse_new()
+                await self._ingress.stop_accepting()
                 await self._ingress.finish_all()
         except TimeoutError:
             log_event(Event.STOP_LIMIT_REACHED, held=self._ingress.held)
-        await self._ingress.answer_all()
+        await self._ingress.answer_unfinished()
         await self.close()
         log_event(Event.PROCESS_STOPPED, role=self.role)
 
     async def abort(self) -> None:
         """Stop at once; running requests are cancelled, and their callers receive an error."""
         self._state.leaving = True
-        await self._ingress.answer_all()
+        await self._ingress.answer_unfinished()
         await self.close()
 
     async def close(self) -> None:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
@@ -40,7 +40,7 @@
         self.waiting.append(answer)
         return await answer
 
-    def moment_of(self, store_s, era):
+    def to_local_time(self, store_s, era):
         return store_s if self.has_clock else None
 
     def reading(self, *rows):
@@ -66,7 +66,7 @@
     """Exchange of the process; the messages that it sends are in ``exchange.sent``."""
     exchange = FeedExchange(random.Random(1), Switches())
     exchange.sent = []
-    exchange.tell = exchange.sent.append
+    exchange.send_changes = exchange.sent.append
     return exchange
 
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/slot.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/slot.py
@@ -39,7 +39,7 @@
 from ._clock import ticks
 from ._era_follower import EraFollower
 from ._order_follower import HttpOrderTarget, OrderFollower
-from ._peer import HEARTBEAT_S, SILENCE_S, PeerConnection
+from ._peer import HEARTBEAT_S, RECEIVE_TIMEOUT_S, PeerConnection
 from ._peer_server import PeerServer
 from ._process import Process
 from ._slot_runner import SlotRunner
@@ -228,7 +228,7 @@
         return record.priority if record else 0
 
     def _peer_up(self, peer: PeerConnection) -> None:
-        peer.keep_alive(HEARTBEAT_S, SILENCE_S, self._sync.heartbeat)
+        peer.keep_alive(HEARTBEAT_S, RECEIVE_TIMEOUT_S, self._sync.heartbeat)
         self._sync.add_peer(peer)
         self.suspicions.send_all(peer)
         peer.post(self._make_status())
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
@@ -22,7 +22,12 @@
 from burdockquay_standins import expected_answer
 from burdockquay_transport import _peer, _peer_server
 from burdockquay_transport._addresses import bind_socket
-from burdockquay_transport._peer import Identity, TrafficCounts, accept_handshake, greet_peer
+from burdockquay_transport._peer import (
+    Identity,
+    TrafficCounts,
+    accept_handshake,
+    initiate_handshake,
+)
 from burdockquay_transport._peer_server import PeerServer
 
 from ._deployment import PEER_KEY, chat_body, is_answering, until
@@ -32,7 +37,9 @@
 
 async def open_peer(slot, key=PEER_KEY):
     websocket = await connect(f"ws://127.0.0.1:{slot.port}", proxy=None, compression=None)
-    return websocket, await greet_peer(websocket, ROGUE, bytes.fromhex(key), TrafficCounts())
+    return websocket, await initiate_handshake(
+        websocket, ROGUE, bytes.fromhex(key), TrafficCounts()
+    )
 
 
 @pytest.mark.parametrize(
--- a/packages/burdockquay/src/burdockquay/_run_process.py
+++ b/packages/burdockquay/src/burdockquay/_run_process.py
@@ -77,7 +77,7 @@
     """Configure logging and return a function that flushes buffered lines."""
     if role == "forwarder":
         handler = setup_json_logging(settings.log_level, sys.stdout.fileno(), vm=settings.vm)
-        return handler.pipe.flush_once
+        return handler.pipe.flush_available
     return setup_logging(settings.log_level, sys.stderr).flush
 
 
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -8,7 +8,7 @@
 
 from burdockquay_protocol import ANSWERS, ErrorKind
 from burdockquay_transport import Event, _metrics
-from burdockquay_transport.forwarding._figures import Figures
+from burdockquay_transport.forwarding._forwarder_metrics import ForwarderMetrics
 
 ROOT = Path(__file__).parent.parent
 
@@ -72,6 +72,6 @@
 
 def test_every_figure_of_a_forwarder_is_on_the_page():
     page = (ROOT / "docs" / "metrics.md").read_text()
-    named = {family.name for family in Figures().registry.collect()}
+    named = {family.name for family in ForwarderMetrics().registry.collect()}
     assert named
     assert sorted(name for name in named if f"`{name}" not in page) == []
