--- a/benchmarks/_control_stages.py
+++ b/benchmarks/_control_stages.py
@@ -18,7 +18,7 @@
 from _records import CHAT_PATH, api_key, class_route, organisation_record
 
 from burdockquay_standins import EngineParameters
-from burdockquay_state import ClassRecord, GroupRecord, VmEntry, change_of
+from burdockquay_state import ClassRecord, GroupRecord, VmEntry, make_record_change
 
 WINDOW_S = 1.1
 IDLE_WINDOW_S = 2.6
@@ -178,7 +178,9 @@
 
     async def _put_new(self, records: list[Any]) -> None:
         for start in range(0, len(records), COMMIT_RECORDS):
-            changes = [change_of([item], 0) for item in records[start : start + COMMIT_RECORDS]]
+            changes = [
+                make_record_change([item], 0) for item in records[start : start + COMMIT_RECORDS]
+            ]
             accepted = await self.cluster.log.commit(changes, "bench", time.time())
             accepted.unwrap()
 
--- a/benchmarks/_era_claims.py
+++ b/benchmarks/_era_claims.py
@@ -89,7 +89,7 @@
         platform = self.deployment.platform
         platform.faults.outage = True
         await asyncio.sleep(OUTAGE_S)
-        platform.table.return_to(self._copies[0])
+        platform.table.restore_copy(self._copies[0])
         platform.faults.outage = False
 
     async def _send_keys(self, calls: asyncio.TaskGroup) -> None:
--- a/benchmarks/_harness.py
+++ b/benchmarks/_harness.py
@@ -19,7 +19,7 @@
 from _processes import Process, Processes, daemon_command, standin_command
 
 from burdockquay_standins import DelayLine, EngineParameters, PlatformParameters, ServiceParameters
-from burdockquay_state import RecordLog, VmEntry, VmState, change_of
+from burdockquay_state import RecordLog, VmEntry, VmState, make_record_change
 from burdockquay_transport import HttpTable
 
 PEER_KEY = "5b" * 32
@@ -119,7 +119,9 @@
         RuntimeError
             If a record is not accepted; none of them is put in that case.
         """
-        changes = [change_of([item], await self._current_revision(item)) for item in records]
+        changes = [
+            make_record_change([item], await self._current_revision(item)) for item in records
+        ]
         accepted = await self.log.commit(changes, author, time.time())
         if accepted.is_err():
             raise RuntimeError(f"records not accepted: {accepted.err()}")
--- a/benchmarks/_table_calls.py
+++ b/benchmarks/_table_calls.py
@@ -6,7 +6,7 @@
 
 from _records import organisation_record
 
-from burdockquay_state import MemoryTable, RecordLog, change_of
+from burdockquay_state import MemoryTable, RecordLog, make_record_change
 
 COMMIT_RECORDS = 50
 RECORDS = (100, 1100)
@@ -22,7 +22,9 @@
             records = [
                 organisation_record(f"org-{i}") for i in range(start, start + COMMIT_RECORDS)
             ]
-            (await log.commit([change_of([item], 0) for item in records], "bench", 0.0)).unwrap()
+            (
+                await log.commit([make_record_change([item], 0) for item in records], "bench", 0.0)
+            ).unwrap()
         rows.append({"records": high, **await _count(table, log)})
         low = high
     return rows
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_load_turns.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_load_turns.py
@@ -11,7 +11,7 @@
     Constraint,
     Interval,
     Lease,
-    LeaseHeld,
+    LeaseRefusal,
     LeaseStore,
     check_parameters,
 )
@@ -66,7 +66,7 @@
         check_parameters(self)
         self._pending_releases: list[tuple[float, Lease]] = []
 
-    async def take(self, now: float) -> Result[Lease, LeaseHeld]:
+    async def take(self, now: float) -> Result[Lease, LeaseRefusal]:
         """Acquire a randomly chosen turn if it is free.
 
         Parameters
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_entry.py
@@ -11,7 +11,7 @@
 from burdockquay_protocol import ErrorKind
 from burdockquay_state import (
     ABSENT,
-    START_LIMIT_S,
+    ATTEMPT_START_LIMIT_S,
     CancelOutcome,
     ClaimRow,
     ClaimState,
@@ -22,7 +22,7 @@
     era_of,
 )
 
-ROW_AGE_LIMIT_S = START_LIMIT_S / 2
+ROW_AGE_LIMIT_S = ATTEMPT_START_LIMIT_S / 2
 """How much older than a request a row may be for the entry to rely on its not expiring, seconds."""
 
 
@@ -136,7 +136,7 @@
                 # and the table has no row.
                 return Settled(SettledState.NOT_RUN, self.claims.table.absent)
             return Settled(SettledState.UNKNOWN, detail=found.err().detail)
-        if clock() - ticket.started_at >= START_LIMIT_S:
+        if clock() - ticket.started_at >= ATTEMPT_START_LIMIT_S:
             # After a long pause the row may have expired, so a missing row is no evidence that
             # nothing ran.
             return Settled(SettledState.UNKNOWN, detail="the entry was paused for too long")
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
@@ -94,7 +94,7 @@
 
     def may_claim(self, era: int) -> bool:
         """Return whether a claim may be made in an era; the table accepts only its own era."""
-        return era == 0 or era == self._open_era == self.claims.memory.era
+        return era == 0 or era == self._open_era == self.claims.recent_claims.era
 
     def is_claim_too_old(self, since: float) -> bool:
         """Return whether a claim begun at ``since`` is too old to send the request.
@@ -132,12 +132,12 @@
             return read
         (row,) = read.ok()
         era = self._record_era()
-        if self.claims.memory.era < era:
+        if self.claims.recent_claims.era < era:
             restored = await self._restorer.restore()
             if restored.is_err():
                 return Err(restored.err())
             self._report = restored.ok()
-        if self._open_era < era and self.claims.memory.era == era:
+        if self._open_era < era and self.claims.recent_claims.era == era:
             await self._open_when_due(era, row)
         return Ok(None)
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
@@ -9,7 +9,7 @@
 
 from burdockquay_protocol import ErrorKind, NotRun, Run
 from burdockquay_state import (
-    START_LIMIT_S,
+    ATTEMPT_START_LIMIT_S,
     Claim,
     ClaimRefusal,
     ClaimRequest,
@@ -133,7 +133,7 @@
             attempt_id=f"{run.request}/{run.attempt}/{self._attempts}",
             incarnation=self.incarnation,
             digest=run.digest,
-            not_after=min(now + run.deadline_s, started_at + START_LIMIT_S),
+            not_after=min(now + run.deadline_s, started_at + ATTEMPT_START_LIMIT_S),
         )
 
     async def _claim(self, request: ClaimRequest, now: float) -> Result[Claim, ClaimRefusal]:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_orders.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_orders.py
@@ -13,8 +13,8 @@
 from result import Result
 
 from burdockquay_state import (
+    ATTEMPT_START_LIMIT_S,
     ORDER_ORGANISATION,
-    START_LIMIT_S,
     Claim,
     ClaimRequest,
     ClaimRow,
@@ -288,7 +288,7 @@
             attempt_id=f"{name}/{self._attempts}",
             incarnation=self.incarnation,
             digest=record.order,
-            not_after=now + START_LIMIT_S,
+            not_after=now + ATTEMPT_START_LIMIT_S,
         )
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
@@ -422,7 +422,7 @@
     def return_to_copy(self) -> None:
         """Restore the table from the copy, and record which claims it has lost."""
         before = self.table._rows
-        self.table.return_to(self.copy)
+        self.table.restore_copy(self.copy)
         for row_key, row in before.items():
             claim = decode_row(row).ok() if row_key.startswith(CLAIM_PREFIX) else None
             kept = self.table._rows.get(row_key)
@@ -475,7 +475,7 @@
             self.take_copy()
 
     def _has_restored(self, process: Process) -> bool:
-        return process.claims.memory.era == self.table.era
+        return process.claims.recent_claims.era == self.table.era
 
     def _drop_restored_claims(self) -> None:
         restored = {slot.incarnation for slot in self.slots if self._has_restored(slot)}
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_configuration_return.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_configuration_return.py
@@ -45,7 +45,7 @@
     copy = operators.table.copy()
     await operators.put("desk", 2)
     await operators.read(holder)
-    operators.table.return_to(copy)
+    operators.table.restore_copy(copy)
     await operators.read(holder)
     assert places(holder) == {"desk": 2}
     await operators.put("hall", 5)
@@ -61,7 +61,7 @@
     copy = operators.table.copy()
     await operators.withdraw("desk")
     await operators.read(holder)
-    operators.table.return_to(copy)
+    operators.table.restore_copy(copy)
     await operators.put("hall", 5)
     await operators.read(holder)
     assert places(holder) == {"hall": 5}
@@ -80,7 +80,7 @@
     await operators.withdraw("desk")
     copy = operators.table.copy()
     await operators.put("hall", 2)
-    operators.table.return_to(copy)
+    operators.table.restore_copy(copy)
     operators.revisions = {"hall": 2}
     await operators.put("nave", 4)
     outcome = await operators.read(holder)
@@ -97,7 +97,7 @@
     await operators.put("desk", 1)
     for holder in (late, early):
         await operators.read(holder)
-    operators.table.return_to(copy)
+    operators.table.restore_copy(copy)
     del operators.revisions["desk"]
     await operators.put("desk", 2)
     await operators.read(early)
@@ -118,7 +118,7 @@
     copy = operators.table.copy()
     lost = [await operators.put("desk", places) for places in (2, 3)]
     await operators.read(holder)
-    operators.table.return_to(copy)
+    operators.table.restore_copy(copy)
     operators.revisions["desk"] = 1
     first = await operators.put("desk", 4)
     assert first > max(lost)
@@ -133,7 +133,7 @@
     await operators.put("desk", 1)
     copy = operators.table.copy()
     lost = await operators.put("desk", 2)
-    operators.table.return_to(copy)
+    operators.table.restore_copy(copy)
     if goes_on:
         operators.revisions["desk"] = 1
         await operators.put("desk", 3)
@@ -152,11 +152,11 @@
     copy = operators.table.copy()
     await operators.put("desk", 2)
     await operators.read(holder)
-    operators.table.return_to(copy)
+    operators.table.restore_copy(copy)
     await operators.put("hall", 1)
     copy = operators.table.copy()
     await operators.put("hall", 2)
-    operators.table.return_to(copy)
+    operators.table.restore_copy(copy)
     await operators.put("nave", 1)
     await operators.read(holder)
     assert places(holder) == {"desk": 2, "hall": 1, "nave": 1}
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
@@ -130,7 +130,7 @@
     cluster.open(0, 6)
     cluster.return_to_copy()
     cluster.slots[0].claims.table.known_era = cluster.table.era
-    cluster.slots[0].claims.memory.mark_standing(cluster.table.era)
+    cluster.slots[0].claims.recent_claims.mark_present(cluster.table.era)
     cluster.heal()
     assert cluster.oracle.effects.total() == 0
     assert cluster.oracle.calls[0].reported == "not_run"
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era_machine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era_machine.py
@@ -7,7 +7,7 @@
 from result import Ok
 
 from burdockquay_coordination import CLAIM_HOLD_S, AtMostOnceResolver, ClaimEra
-from burdockquay_state import ClaimStore, MemoryTable, Rewrite, number_of
+from burdockquay_state import ClaimStore, MemoryTable, RewriteOutcome, number_of
 
 from .once_cluster import OracleError, SimulatedCluster
 from .test_once_machine import KEYS, MANY, TWO, OnceMachine
@@ -121,8 +121,8 @@
 class WithoutRestore(ClaimStore):
     """Assumes that the table still has every remembered row."""
 
-    async def write_again(self, row_key, row, current):
-        return Ok(Rewrite.STANDING)
+    async def rewrite_row(self, row_key, row, current):
+        return Ok(RewriteOutcome.PRESENT)
 
 
 class NumbersTable(MemoryTable):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_orders.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_orders.py
@@ -179,7 +179,7 @@
     slots = [returning.slot(f"slot-{number}", engine) for number in range(2)]
     copy = returning.table.copy()
     assert await returning.act(slots[0], ROLE) is OrderState.DONE
-    returning.table.return_to(copy)
+    returning.table.restore_copy(copy)
     assert await returning.act(slots[1], ROLE) is OrderState.WAITING
     await slots[0].eras.refresh_era()
     returning.now += 60.0
@@ -196,7 +196,7 @@
 
     async def claim_and_return(request, now):
         claimed = await claim(request, now)
-        returning.table.return_to(returning.table.copy())
+        returning.table.restore_copy(returning.table.copy())
         return claimed
 
     slot.claims.claim = claim_and_return
--- a/packages/burdockquay-protocol/src/burdockquay_protocol/_forwarder_messages.py
+++ b/packages/burdockquay-protocol/src/burdockquay_protocol/_forwarder_messages.py
@@ -173,7 +173,7 @@
     steady_s: float
     rows: list[ChangedRow]
 
-    def in_first_era(self) -> TableChanges:
+    def to_table_changes(self) -> TableChanges:
         """Return the same changes as those of a store that reports no era."""
         return TableChanges(
             self.table, 0, self.after, self.upto, self.store_s, self.steady_s, self.rows
--- a/packages/burdockquay-standins/src/burdockquay_standins/_platform.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_platform.py
@@ -181,7 +181,7 @@
         if body.get("copy"):
             self._copy = self.table.copy()
         if body.get("return_to_copy"):
-            self.table.return_to(self._copy)
+            self.table.restore_copy(self._copy)
             self.faults.stale_until = now
 
     def _set_lost_confirmations(self, amount: float) -> None:
--- a/packages/burdockquay-state/src/burdockquay_state/__init__.py
+++ b/packages/burdockquay-state/src/burdockquay_state/__init__.py
@@ -16,7 +16,7 @@
     ),
     "._claim_sweep": (
         "MIN_RETENTION_S",
-        "START_LIMIT_S",
+        "ATTEMPT_START_LIMIT_S",
         "ClaimSweep",
         "SweepPage",
     ),
@@ -27,13 +27,13 @@
         "ClaimRequest",
         "ClaimStore",
         "RefusalReason",
-        "Rewrite",
+        "RewriteOutcome",
     ),
     "._faulty": ("FaultyTable",),
     "._group_commit": ("GroupCommitter",),
     "._leases": (
         "Lease",
-        "LeaseHeld",
+        "LeaseRefusal",
         "LeaseStore",
     ),
     "._log_entry": (
@@ -54,7 +54,7 @@
         "RecordChange",
         "RefusalKind",
         "CompetingChange",
-        "change_of",
+        "make_record_change",
     ),
     "._record_checks": (
         "CheckedState",
--- a/packages/burdockquay-state/src/burdockquay_state/_claim_restore.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_claim_restore.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from ._claim_rows import ClaimRow, decode_row
-from ._claims import ClaimStore, Rewrite
+from ._claims import ClaimStore, RewriteOutcome
 from ._table import Row, TableError, TableErrorKind
 
 _KEYS_PER_READ = 500
@@ -56,8 +56,8 @@
     async def restore(self) -> Result[RestoreReport, TableError]:
         """Rewrite the rows that the table has lost; the caller retries after an error."""
         era = self.claims.table.era
-        rows = self.claims.memory.newest_first()
-        counts = dict.fromkeys(Rewrite, 0)
+        rows = self.claims.recent_claims.newest_first()
+        counts = dict.fromkeys(RewriteOutcome, 0)
         taken: list[str] = []
         for start in range(0, len(rows), _KEYS_PER_READ):
             part = rows[start : start + _KEYS_PER_READ]
@@ -72,26 +72,28 @@
                 if result.is_err():
                     return result
                 counts[result.ok()] += 1
-                if result.ok() is Rewrite.TAKEN:
+                if result.ok() is RewriteOutcome.TAKEN:
                     taken.append(row_key)
         if self.claims.table.era != era:
             return Err(TableError(TableErrorKind.UNCERTAIN, "the table returned once more"))
-        self.claims.memory.mark_standing(era)
+        self.claims.recent_claims.mark_present(era)
         return Ok(
-            RestoreReport(era, counts[Rewrite.STANDING], counts[Rewrite.WRITTEN], tuple(taken))
+            RestoreReport(
+                era, counts[RewriteOutcome.PRESENT], counts[RewriteOutcome.WRITTEN], tuple(taken)
+            )
         )
 
     async def _restore_one(
         self, row_key: str, row: ClaimRow, current: Row | None
-    ) -> Result[Rewrite, TableError]:
+    ) -> Result[RewriteOutcome, TableError]:
         decoded = Ok(None) if current is None else decode_row(current)
         if decoded.is_err():
             return decoded
-        done = await self.claims.write_again(row_key, row, decoded.ok())
-        latest = self.claims.memory.get(row_key)
+        done = await self.claims.rewrite_row(row_key, row, decoded.ok())
+        latest = self.claims.recent_claims.get(row_key)
         while done.is_ok() and latest is not None and latest is not row:
             # The outcome was recorded meanwhile, and its write may have found no row to replace.
             row = latest
             done = await self.claims.read_and_rewrite(row_key, row)
-            latest = self.claims.memory.get(row_key)
+            latest = self.claims.recent_claims.get(row_key)
         return done
--- a/packages/burdockquay-state/src/burdockquay_state/_claim_sweep.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_claim_sweep.py
@@ -14,13 +14,13 @@
 from ._table import Delete, Row, TableError, TableService
 from ._validation import Constraint, Interval, check_parameters
 
-START_LIMIT_S = 3600.0
+ATTEMPT_START_LIMIT_S = 3600.0
 """Longest time between the arrival of a request and the start of one of its attempts, seconds.
 
 Later, a slot sends no attempt and an entry no longer reports a request as not run.
 """
 
-MIN_RETENTION_S = 2 * START_LIMIT_S
+MIN_RETENTION_S = 2 * ATTEMPT_START_LIMIT_S
 """Shortest retention of claims, seconds; the excess over the limit allows for clock differences
 between VMs."""
 
@@ -58,7 +58,8 @@
     -----
     After a row is deleted, an attempt that expects no row could claim again, and an entry that
     reads the key would conclude that nothing ran. Slots and entries therefore refuse to act later
-    than ``START_LIMIT_S`` after the request arrived, and the retention is at least twice as long.
+    than ``ATTEMPT_START_LIMIT_S`` after the request arrived, and the retention is at least twice as
+    long.
 
     Claims of orders are never deleted: a record may be in force for longer than any retention time,
     and its order would then be executed again.
@@ -87,7 +88,7 @@
         check_parameters(self)
 
     async def sweep_page(
-        self, after: str, may_act: Callable[[str], bool], now: float
+        self, after: str, may_still_act: Callable[[str], bool], now: float
     ) -> Result[SweepPage, TableError]:
         """Scan one page of rows and delete those that have expired.
 
@@ -95,7 +96,7 @@
         ----------
         after : str
             :attr:`SweepPage.after` of the previous page; empty to start.
-        may_act : callable
+        may_still_act : callable
             Called with the incarnation of a slot; returns False only if that process has ended for
             good.
         now : float
@@ -104,20 +105,20 @@
         rows = await self.table.scan(CLAIM_PREFIX, after, self.page)
         if rows.is_err():
             return rows
-        expired = [row for row in rows.ok() if self._is_expired(row, may_act, now)]
+        expired = [row for row in rows.ok() if self._is_expired(row, may_still_act, now)]
         deletions = [Delete(row.key, row.version) for row in expired]
         results = await asyncio.gather(*(self.committer.write(delete) for delete in deletions))
         deleted = sum(result.is_ok() for result in results)
         last = rows.ok()[-1].key if len(rows.ok()) == self.page else ""
         return Ok(SweepPage(len(rows.ok()), deleted, last))
 
-    def _is_expired(self, row: Row, may_act: Callable[[str], bool], now: float) -> bool:
+    def _is_expired(self, row: Row, may_still_act: Callable[[str], bool], now: float) -> bool:
         if row.key.startswith(f"{CLAIM_PREFIX}{ORDER_ORGANISATION}/"):
             return False
         decoded = decode_row(row)
         if decoded.is_err():
             return False
         claim: ClaimRow = decoded.ok()
-        if claim.state is ClaimState.RUNNING and may_act(claim.incarnation):
+        if claim.state is ClaimState.RUNNING and may_still_act(claim.incarnation):
             return False
         return now - claim.written_at > self.retention_s
--- a/packages/burdockquay-state/src/burdockquay_state/_claims.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_claims.py
@@ -114,10 +114,10 @@
 }
 
 
-class Rewrite(enum.Enum):
+class RewriteOutcome(enum.Enum):
     """Outcome of the attempt to rewrite a row."""
 
-    STANDING = "standing"
+    PRESENT = "standing"
     """The table still has the row, or has nothing that the row would need to replace."""
     WRITTEN = "written"
     TAKEN = "taken"
@@ -156,7 +156,7 @@
         Batches the writes of this process into shared transactions; a new one by default.
     inline_bytes : int
         Largest encoded answer that is stored in the row itself, bytes.
-    memory : RecentClaims, optional
+    recent_claims : RecentClaims, optional
         Cache of the recent claims of this process; a new one by default.
 
     Attributes
@@ -192,13 +192,13 @@
         objects: ObjectStore,
         committer: GroupCommitter | None = None,
         inline_bytes: int = INLINE_BYTES,
-        memory: RecentClaims | None = None,
+        recent_claims: RecentClaims | None = None,
     ):
         self.table = table
         self.objects = objects
         self.committer = committer or GroupCommitter(table)
         self.inline_bytes = inline_bytes
-        self.memory = memory or RecentClaims()
+        self.recent_claims = recent_claims or RecentClaims()
         self.reads = 0
 
     async def claim(self, request: ClaimRequest, now: float) -> Result[Claim, ClaimRefusal]:
@@ -237,7 +237,7 @@
             detail = "the table returned from a copy meanwhile"
             return Err(ClaimRefusal(RefusalReason.UNCERTAIN, detail))
         self._record_row(row_key, row)
-        self.memory.prune(era, now)
+        self.recent_claims.prune(era, now)
         return Ok(Claim(request.organisation, request.key, row))
 
     async def cancel(
@@ -345,14 +345,16 @@
             return Err(TableError(TableErrorKind.INVALID, detail))
         return decode_answer(content.ok())
 
-    async def read_and_rewrite(self, row_key: str, row: ClaimRow) -> Result[Rewrite, TableError]:
+    async def read_and_rewrite(
+        self, row_key: str, row: ClaimRow
+    ) -> Result[RewriteOutcome, TableError]:
         """Read a row of this process, and rewrite it if the table has lost it."""
         found = await self._read_row(row_key)
-        return found if found.is_err() else await self.write_again(row_key, row, found.ok())
+        return found if found.is_err() else await self.rewrite_row(row_key, row, found.ok())
 
-    async def write_again(
+    async def rewrite_row(
         self, row_key: str, row: ClaimRow, current: ClaimRow | None
-    ) -> Result[Rewrite, TableError]:
+    ) -> Result[RewriteOutcome, TableError]:
         """Replace ``current`` with a row of this process if the table has lost that row.
 
         Notes
@@ -367,7 +369,7 @@
             version = current.version if current else self.table.absent
             written = await self.committer.write(Put(row_key, encode_row(row), version))
             if written.is_ok():
-                return Ok(Rewrite.WRITTEN)
+                return Ok(RewriteOutcome.WRITTEN)
             if written.err().kind not in _POSSIBLY_CHANGED:
                 return Err(written.err())
             found = await self._read_row(row_key)
@@ -378,7 +380,7 @@
 
     def _record_row(self, row_key: str, row: ClaimRow) -> None:
         if self.table.era:
-            self.memory.record_row(row_key, row)
+            self.recent_claims.record_row(row_key, row)
 
     async def _replace(self, claim: Claim, row: ClaimRow) -> Result[None, TableError]:
         row_key = claim_row_key(claim.organisation, claim.key)
@@ -390,7 +392,7 @@
         if not is_conflict or self.table.era == era_of(claim.row.version):
             return Err(written.err())
         rewritten = await self.read_and_rewrite(row_key, row)
-        if rewritten.is_ok() and rewritten.ok() is Rewrite.TAKEN:
+        if rewritten.is_ok() and rewritten.ok() is RewriteOutcome.TAKEN:
             return Err(TableError(TableErrorKind.CONFLICT, f"{row_key}: another attempt holds it"))
         return rewritten.map(lambda _: None)
 
@@ -448,13 +450,13 @@
         return Ok(None) if row is None else decode_row(row)
 
 
-def _classify_current_row(row: ClaimRow, current: ClaimRow | None) -> Rewrite | None:
+def _classify_current_row(row: ClaimRow, current: ClaimRow | None) -> RewriteOutcome | None:
     """Return the outcome of a rewrite given the current row, None if it must be written."""
     if current is not None and current.is_same_write(row):
-        return Rewrite.STANDING
+        return RewriteOutcome.PRESENT
     is_own = current is not None and current.is_of_attempt(row)
     if row.state is (ClaimState.RUNNING if is_own else ClaimState.CANCELLED):
-        return Rewrite.STANDING
+        return RewriteOutcome.PRESENT
     if is_own or current is None or current.state is ClaimState.CANCELLED:
         return None
-    return Rewrite.TAKEN
+    return RewriteOutcome.TAKEN
--- a/packages/burdockquay-state/src/burdockquay_state/_faulty.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_faulty.py
@@ -46,9 +46,9 @@
         self.stale_reads: list[int] = []
         self._states: deque[dict[str, Row]] = deque(maxlen=_STATES_KEPT)
 
-    def return_to(self, copy: TableCopy) -> None:
+    def restore_copy(self, copy: TableCopy) -> None:
         """Restore the copy; later reads no longer show states from before the restore."""
-        super().return_to(copy)
+        super().restore_copy(copy)
         self._states.clear()
 
     async def get(self, keys: Sequence[str]) -> Result[list[Row | None], TableError]:
--- a/packages/burdockquay-state/src/burdockquay_state/_leases.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_leases.py
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class LeaseHeld:
+class LeaseRefusal:
     """Error for a lease that was not obtained.
 
     Parameters
@@ -150,7 +150,7 @@
 
     async def acquire(
         self, name: str, holder: str, duration_s: float, now: float
-    ) -> Result[Lease, LeaseHeld]:
+    ) -> Result[Lease, LeaseRefusal]:
         """Obtain a lease, or renew it if ``holder`` already has it.
 
         Parameters
@@ -164,19 +164,19 @@
         """
         found = await self._read(name)
         if found.is_err():
-            return Err(LeaseHeld(name, "", f"table: {found.err().kind.value}"))
+            return Err(LeaseRefusal(name, "", f"table: {found.err().kind.value}"))
         row = found.ok()
         self._record_era(now)
         if row is None:
             if now - self._restored_at < duration_s * (1.0 + self.margin):
-                return Err(LeaseHeld(name, "", "the table may have lost its holder"))
+                return Err(LeaseRefusal(name, "", "the table may have lost its holder"))
             return await self._write_holder(name, row, holder, duration_s, now)
         is_free = row.holder in ("", holder) and row.is_of_current_era
         if not is_free and not self._has_expired(name, row, now):
-            return Err(LeaseHeld(name, row.holder, "held"))
+            return Err(LeaseRefusal(name, row.holder, "held"))
         return await self._write_holder(name, row, holder, duration_s, now)
 
-    async def renew(self, lease: Lease, now: float) -> Result[Lease, LeaseHeld]:
+    async def renew(self, lease: Lease, now: float) -> Result[Lease, LeaseRefusal]:
         """Extend a lease; fails if the row was written since.
 
         Notes
@@ -190,13 +190,13 @@
             return written
         found = await self._read(lease.name)
         if found.is_err():
-            return Err(LeaseHeld(lease.name, "", f"table: {found.err().kind.value}"))
+            return Err(LeaseRefusal(lease.name, "", f"table: {found.err().kind.value}"))
         row = found.ok()
         if row is not None and row.is_of_current_era:
-            return Err(LeaseHeld(lease.name, row.holder, "held"))
+            return Err(LeaseRefusal(lease.name, row.holder, "held"))
         return await self._write_holder(lease.name, row, lease.holder, lease.duration_s, now)
 
-    async def release(self, lease: Lease) -> Result[None, LeaseHeld]:
+    async def release(self, lease: Lease) -> Result[None, LeaseRefusal]:
         """Release a lease, so that the next holder need not wait for it to expire.
 
         Notes
@@ -215,7 +215,7 @@
 
     async def _write_holder(
         self, name: str, row: _LeaseRow | None, holder: str, duration_s: float, now: float
-    ) -> Result[Lease, LeaseHeld]:
+    ) -> Result[Lease, LeaseRefusal]:
         version = row.version if row else self.table.absent
         first = (era_of(version) << FENCING_ERA_SHIFT) + 1
         if row is None:
@@ -234,21 +234,21 @@
 
     async def _write(
         self, name: str, wanted: _LeaseRow, expected_version: int, now: float
-    ) -> Result[Lease, LeaseHeld]:
+    ) -> Result[Lease, LeaseRefusal]:
         written = await self.table.transact(
             [Put(LEASE_PREFIX + name, wanted.encode(), expected_version)]
         )
         if written.is_ok():
             return Ok(self._make_lease(name, wanted, written.ok()[0], now))
         if written.err().kind is not TableErrorKind.UNCERTAIN:
-            return Err(LeaseHeld(name, "", f"table: {written.err().kind.value}"))
+            return Err(LeaseRefusal(name, "", f"table: {written.err().kind.value}"))
         # The confirmation was lost. The row shows whether the write took effect. If it has not yet,
         # the lease counts as not obtained, and a late write only delays the next holder.
         found = await self._read(name)
         row = found.ok() if found.is_ok() else None
         if row is not None and attrs.evolve(row, version=ABSENT) == wanted:
             return Ok(self._make_lease(name, wanted, row.version, now))
-        return Err(LeaseHeld(name, "", "no confirmation"))
+        return Err(LeaseRefusal(name, "", "no confirmation"))
 
     def _make_lease(self, name: str, row: _LeaseRow, version: int, now: float) -> Lease:
         return Lease(
--- a/packages/burdockquay-state/src/burdockquay_state/_memory.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_memory.py
@@ -76,10 +76,10 @@
         return self._era
 
     def copy(self) -> TableCopy:
-        """Return a copy of the current state for :meth:`return_to`."""
+        """Return a copy of the current state for :meth:`restore_copy`."""
         return TableCopy(dict(self._rows), self._number)
 
-    def return_to(self, copy: TableCopy) -> None:
+    def restore_copy(self, copy: TableCopy) -> None:
         """Restore a copy: drop all later writes and begin the next era."""
         self._era += 1
         self._number = copy.number
--- a/packages/burdockquay-state/src/burdockquay_state/_recent_claims.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_recent_claims.py
@@ -73,7 +73,7 @@
             self._discard(next(iter(self._rows)))
             self.dropped += 1
 
-    def mark_standing(self, era: int) -> None:
+    def mark_present(self, era: int) -> None:
         """Record that all rows are present in the given era of the table."""
         self._era = max(self._era, era)
 
--- a/packages/burdockquay-state/src/burdockquay_state/_record_change.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_record_change.py
@@ -46,7 +46,7 @@
         return record_path(self.kind, self.name)
 
 
-def change_of(records: Sequence[Any], expected_revision: int) -> RecordChange:
+def make_record_change(records: Sequence[Any], expected_revision: int) -> RecordChange:
     """Return the change that writes a record, given once per schema version.
 
     Parameters
--- a/packages/burdockquay-state/src/burdockquay_state/_record_log.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_record_log.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from ._log_entry import LogPart
-from ._record_change import Accepted, PutRefusal, RecordChange, RefusalKind, change_of
+from ._record_change import Accepted, PutRefusal, RecordChange, RefusalKind, make_record_change
 from ._record_checks import find_put_faults
 from ._record_rows import (
     HEAD_KEY,
@@ -186,7 +186,9 @@
         faults = find_put_faults(records)
         if faults:
             return _invalid(faults)
-        return await self.commit([change_of(records, expected_revision)], author, now, dry_run)
+        return await self.commit(
+            [make_record_change(records, expected_revision)], author, now, dry_run
+        )
 
     async def withdraw(
         self,
--- a/packages/burdockquay-state/src/burdockquay_state/tests/test_leases.py
+++ b/packages/burdockquay-state/src/burdockquay_state/tests/test_leases.py
@@ -97,7 +97,7 @@
         if action == "copy":
             copy = table.copy()
         elif action == "return":
-            table.return_to(copy)
+            table.restore_copy(copy)
         elif action == "acquire":
             taken = await stores[process].acquire("sweep", f"slot-{process}", DURATION_S, now)
             held[process] = taken.ok() or held.get(process)
@@ -134,7 +134,7 @@
     await leases.release(first)
     copy = table.copy()
     lost = (await leases.acquire("sweep", "slot-2", DURATION_S, now=1.0)).ok()
-    table.return_to(copy)
+    table.restore_copy(copy)
     return leases, lost
 
 
--- a/packages/burdockquay-state/src/burdockquay_state/tests/test_memory.py
+++ b/packages/burdockquay-state/src/burdockquay_state/tests/test_memory.py
@@ -43,7 +43,7 @@
     """Write ``a`` after a copy, restore the copy, and return the version of the lost write."""
     copy = table.copy()
     (lost,) = (await table.transact([Put("a", b"lost")])).ok()
-    table.return_to(copy)
+    table.restore_copy(copy)
     return lost
 
 
--- a/packages/burdockquay-state/src/burdockquay_state/tests/test_record_log.py
+++ b/packages/burdockquay-state/src/burdockquay_state/tests/test_record_log.py
@@ -13,7 +13,7 @@
     RecordLog,
     RefusalKind,
     RouteRecord,
-    change_of,
+    make_record_change,
 )
 
 GROUP = GroupRecord("desk", places=4)
@@ -33,7 +33,7 @@
 
 
 async def test_change_of_several_records_is_one_transaction(log):
-    changes = [change_of([item], 0) for item in (GROUP, HOLD, ROUTE)]
+    changes = [make_record_change([item], 0) for item in (GROUP, HOLD, ROUTE)]
     assert (await log.commit(changes, "ada", 10.0)).ok().revision == 3
     part = (await log.read_all()).ok()
     assert part.head == 3
@@ -131,7 +131,7 @@
 
 
 async def test_withdrawal_of_a_referenced_record_names_every_reference(log):
-    await log.commit([change_of([item], 0) for item in (GROUP, HOLD, ROUTE)], "ada", 1.0)
+    await log.commit([make_record_change([item], 0) for item in (GROUP, HOLD, ROUTE)], "ada", 1.0)
     refusal = (await log.withdraw("class", "hold", "ada", 2, 2.0)).err()
     assert refusal.kind is RefusalKind.INVALID
     assert [fault.got for fault in refusal.faults] == ["route/holds with class_name"]
--- a/packages/burdockquay-transport/src/burdockquay_transport/_claim_expiry.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_claim_expiry.py
@@ -73,8 +73,12 @@
         )
         if acquired.is_err():
             return 0
-        may_act = await self._find_listed_vms()
-        return 0 if may_act.is_err() else await self._sweep_all(acquired.ok(), may_act.ok())
+        may_still_act = await self._find_listed_vms()
+        return (
+            0
+            if may_still_act.is_err()
+            else await self._sweep_all(acquired.ok(), may_still_act.ok())
+        )
 
     async def _find_listed_vms(self) -> Result[Callable[[str], bool], TableError]:
         """Return a predicate: whether the process of an incarnation may still act on a claim.
@@ -93,11 +97,11 @@
             return Err(TableError(TableErrorKind.INVALID, "the VM list is empty"))
         return Ok(lambda incarnation: incarnation.split("/")[0] in names)
 
-    async def _sweep_all(self, lease: Lease, may_act: Callable[[str], bool]) -> int:
+    async def _sweep_all(self, lease: Lease, may_still_act: Callable[[str], bool]) -> int:
         deleted = 0
         after = ""
         while lease.is_usable(self.clock.now()) and self._leases.is_current(lease):
-            page = await self._sweep.sweep_page(after, may_act, self.clock.wall())
+            page = await self._sweep.sweep_page(after, may_still_act, self.clock.wall())
             if page.is_err():
                 break
             deleted += page.ok().deleted
--- a/packages/burdockquay-transport/src/burdockquay_transport/_era_follower.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_era_follower.py
@@ -43,7 +43,7 @@
 
     async def follow(self) -> None:
         """Check the era once if necessary, and log changes."""
-        if len(self.eras.claims.memory):
+        if len(self.eras.claims.recent_claims):
             await self._refresh_era()
         if not self.eras.is_open:
             await self.eras.refresh_era()
@@ -57,13 +57,13 @@
         except TimeoutError:
             return
         if reply.is_ok():
-            claims.memory.prune(self.eras.era, self.clock.wall())
+            claims.recent_claims.prune(self.eras.era, self.clock.wall())
 
     def _log_changes(self) -> None:
         eras = self.eras
         if eras.era != self._era:
             if self._era:
-                held = len(eras.claims.memory)
+                held = len(eras.claims.recent_claims)
                 log_event(Event.TABLE_ERA_CHANGED, era=eras.era, before=self._era, claims=held)
             self._era = eras.era
         report = eras.report
@@ -81,7 +81,7 @@
                 era=report.era,
                 written=report.written,
                 standing=report.standing,
-                forgotten=self.eras.claims.memory.dropped,
+                forgotten=self.eras.claims.recent_claims.dropped,
             )
         for row_key in report.taken[:_KEYS_LOGGED]:
             log_event(Event.CLAIM_TAKEN_MEANWHILE, row=row_key)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
@@ -410,7 +410,7 @@
         self.state.platform.exchange.receive_changes(message, self.state.clock.now())
 
     def _receive_eraless_changes(self, peer: PeerConnection, message: EralessTableChanges) -> None:
-        self._receive_changes(peer, message.in_first_era())
+        self._receive_changes(peer, message.to_table_changes())
 
     def _receive_configuration(self, peer: PeerConnection, message: NewestConfiguration) -> None:
         self.state.standing.record_peer_confirmation(message.version, self.state.clock.now())
--- a/packages/burdockquay-transport/src/burdockquay_transport/slot.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/slot.py
@@ -378,7 +378,7 @@
                 "outcomes_pending": self._outcomes.pending,
                 "outcomes_retried": self._outcomes.retries,
                 "outcomes_lost": self._outcomes.lost,
-                "remembered": len(self._claims.memory),
+                "remembered": len(self._claims.recent_claims),
                 "era": self._claims.table.era,
                 "table_transactions": self._committer.writes,
                 "table_writes": self._committer.operations,
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_era.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_era.py
@@ -32,7 +32,7 @@
     copy = server.table.copy()
     (lost,) = (await table.transact([Put("a", b"2", first)])).ok()
     assert table.era == 1
-    server.table.return_to(copy)
+    server.table.restore_copy(copy)
     refused = await table.transact([Put("a", b"3", lost), Check("b", make_version(1, 0))])
     assert refused.err().conflicts == (0, 1)
     assert table.era == 2
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_restore.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_table_restore.py
@@ -63,7 +63,7 @@
         await open_era(running.platform)
         copy = running.platform.table.copy()
         first = await ask_until_answered(running, "h-1")
-        running.platform.table.return_to(copy)
+        running.platform.table.restore_copy(copy)
         assert await ask_until_answered(running, "h-1") == first
         assert count_effects(running) == 1
         assert (await ask_until_answered(running, "h-2"))[0] == first[0]
@@ -80,11 +80,11 @@
     request = ClaimRequest("parish", "h-1", table.absent, 1, "a1", "slot-1", "d", 60.0)
     assert (await claims.claim(request, now=0.0)).is_ok()
     await follower.follow()
-    follower.clock.time = claims.memory.keep_s
+    follower.clock.time = claims.recent_claims.keep_s
     for _ in range(3):
         await follower.follow()
     assert table.reads == reads
-    assert len(claims.memory) == 0
+    assert len(claims.recent_claims) == 0
 
 
 @pytest.fixture
@@ -110,7 +110,7 @@
     ]
     for request in requests:
         assert (await claims.claim(request, now=0.0)).is_ok()
-    table.return_to(copy)
+    table.restore_copy(copy)
     other = attrs.evolve(requests[1], incarnation="slot-2", expected_version=table.absent)
     assert (await ClaimStore(table, MemoryObjectStore()).claim(other, now=0.0)).is_ok()
     await follower.follow()
@@ -134,7 +134,7 @@
     copy = table.copy()
     await records.put([GroupRecord("desk", places=1)], "anna", 0, 0.0)
     await sync.read_table()
-    table.return_to(copy)
+    table.restore_copy(copy)
     for _ in range(2):
         await sync.read_table()
     assert log.getvalue().count("E1124 configuration_lost era=2 head=0 in_force=1") == 1
--- a/packages/burdockquay/src/burdockquay/_record_documents.py
+++ b/packages/burdockquay/src/burdockquay/_record_documents.py
@@ -14,11 +14,11 @@
     LogRow,
     RecordChange,
     RecordFault,
-    change_of,
     decode_body,
     describe_unknown,
     find_put_faults,
     known_schemas,
+    make_record_change,
     record_path,
     structure_record,
 )
@@ -137,7 +137,9 @@
         if len(revisions) > 1:
             got = ", ".join(map(str, sorted(revisions)))
             faults.append(RecordFault(record_path(*key), "revision", "one for all schemas", got))
-        changes.append(change_of([document.record for document in group], group[0].revision))
+        changes.append(
+            make_record_change([document.record for document in group], group[0].revision)
+        )
     return Err(faults) if faults else Ok(changes)
 
 
--- a/tests/test_configuration_return_machine.py
+++ b/tests/test_configuration_return_machine.py
@@ -99,7 +99,7 @@
     @rule()
     def return_to_copy(self):
         before = self.run_async(self.log.head()).ok()
-        self.table.return_to(self.copy)
+        self.table.restore_copy(self.copy)
         kept = self.run_async(self.log.head()).ok()
         self.lost |= {revision for revision in self.accepted if kept < revision <= before}
 
