--- a/benchmarks/bench_era.py
+++ b/benchmarks/bench_era.py
@@ -21,32 +21,34 @@
 from _era_claims import ClaimsOutcome, simulate_claims
 from _report import print_load_average, print_result, print_table
 
-from burdockquay_platform.tests.era_play import Course, EraOutcome, play_era
+from burdockquay_platform.tests.era_simulation import EraOutcome, StoreScenario, simulate_era
 
 FEEDS = (4, 30, 100)
 PARALLEL_SIMULATIONS = 5
 """Number of parallel simulations, each in a separate process."""
 
-RESTORE = Course("Return from a copy", True)
-CUT_OFF = Course("Return from a copy, a quarter of the processes cut off for 4 s more", True, 0.25)
-OUTAGE = Course("Outage that loses nothing", False)
-COURSES = (RESTORE, CUT_OFF, OUTAGE)
+RESTORE = StoreScenario("Return from a copy", True)
+CUT_OFF = StoreScenario(
+    "Return from a copy, a quarter of the processes cut off for 4 s more", True, 0.25
+)
+OUTAGE = StoreScenario("Outage that loses nothing", False)
+SCENARIOS = (RESTORE, CUT_OFF, OUTAGE)
 
 FAULTS = ("keys_late", "config_back", "leaving_late")
 ADDITIONAL_FIGURES = ("agree_s", "calls", "kib_told", "served_during")
 
 
 def main() -> None:
-    runs = list(itertools.product(reversed(FEEDS), COURSES))
+    runs = list(itertools.product(reversed(FEEDS), SCENARIOS))
     spawn = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(PARALLEL_SIMULATIONS, spawn) as pool:
         claims_future = pool.submit(simulate_claims)
-        outcomes: list[EraOutcome] = list(pool.map(play_era, *zip(*runs, strict=True)))
+        outcomes: list[EraOutcome] = list(pool.map(simulate_era, *zip(*runs, strict=True)))
         claims: ClaimsOutcome = claims_future.result()
     results = {run: attrs.asdict(outcome) for run, outcome in zip(runs, outcomes, strict=True)}
-    for course in COURSES:
-        rows = [(feeds, *results[feeds, course].values()) for feeds in FEEDS]
-        print_table(course.title, ["feeds", *attrs.fields_dict(EraOutcome)], rows)
+    for scenario in SCENARIOS:
+        rows = [(feeds, *results[feeds, scenario].values()) for feeds in FEEDS]
+        print_table(scenario.title, ["feeds", *attrs.fields_dict(EraOutcome)], rows)
     claimed = attrs.asdict(claims)
     print_table("Requests that run at most once", [*claimed], [[*claimed.values()]])
     print_load_average()
--- a/deploy/make_bundle.py
+++ b/deploy/make_bundle.py
@@ -3,7 +3,7 @@
 import importlib
 import sys
 
-from burdockquay._bundle import FILE, write_bundle
+from burdockquay._bundle import BUNDLE_PATH, write_bundle
 
 START = (
     "burdockquay._run_process",
@@ -15,4 +15,4 @@
 
 for module in START:
     importlib.import_module(module)
-print(write_bundle(FILE, sorted(sys.modules)), "modules in the bundle")
+print(write_bundle(BUNDLE_PATH, sorted(sys.modules)), "modules in the bundle")
--- a/packages/burdockquay-standins/src/burdockquay_standins/__init__.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/__init__.py
@@ -4,8 +4,8 @@
 from ._chat import parse_stream
 from ._delay_line import DelayLine
 from ._engine import EngineParameters, EngineStandin
-from ._faulty_relay import Gate, GateState
-from ._feed_table import EraEndedError, FeedCopy, FeedRow, FeedStore, ForgottenError
+from ._faulty_relay import FaultyRelay, RelayState
+from ._feed_table import EraEndedError, FeedCopy, FeedRow, FeedStore, HistoryDiscardedError
 from ._platform import PlatformParameters, PlatformStandin
 from ._raw_server import Behaviour, RawConnection, RawRequest, RawServer
 from ._server import StandinServer
@@ -20,9 +20,9 @@
     "FeedCopy",
     "FeedRow",
     "FeedStore",
-    "ForgottenError",
-    "Gate",
-    "GateState",
+    "HistoryDiscardedError",
+    "FaultyRelay",
+    "RelayState",
     "PlatformParameters",
     "PlatformStandin",
     "RawConnection",
--- a/packages/burdockquay-standins/src/burdockquay_standins/_engine.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_engine.py
@@ -348,7 +348,7 @@
 
     async def _set_faults(self, request: web.Request) -> web.Response:
         try:
-            crash = self.faults.switch(await read_object(request), time.monotonic())
+            crash = self.faults.set_switches(await read_object(request), time.monotonic())
         except ValueError as error:
             raise bad_request(str(error)) from error
         if crash:
--- a/packages/burdockquay-standins/src/burdockquay_standins/_faults.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_faults.py
@@ -31,7 +31,7 @@
         self.refuse = False
         self._tokens_to_crash: int | None = None
 
-    def switch(self, body: Mapping[str, Any], now: float) -> bool:
+    def set_switches(self, body: Mapping[str, Any], now: float) -> bool:
         """Set the switches that the body names; return whether the engine is to crash now.
 
         Raises
--- a/packages/burdockquay-standins/src/burdockquay_standins/_faulty_relay.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_faulty_relay.py
@@ -11,7 +11,7 @@
 READ_BYTES = 65536
 
 
-class GateState(enum.Enum):
+class RelayState(enum.Enum):
     """State of the simulated network."""
 
     OPEN = "open"
@@ -23,7 +23,7 @@
     """Existing and new connections are reset."""
 
 
-class Gate:
+class FaultyRelay:
     """Relay for connections on the loopback interface to another port.
 
     Parameters
@@ -37,7 +37,7 @@
     def __init__(self, target: int, delay_s: float = 0.0):
         self.target = target
         self.delay_s = delay_s
-        self._state = GateState.OPEN
+        self._state = RelayState.OPEN
         self._changed = asyncio.Condition()
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task] = set()
@@ -59,12 +59,12 @@
         for writer in set(self._writers):
             writer.transport.abort()
 
-    async def become(self, state: GateState) -> None:
+    async def set_state(self, state: RelayState) -> None:
         """Change the state; ``CUT`` also resets the open connections."""
         async with self._changed:
             self._state = state
             self._changed.notify_all()
-        if state is GateState.CUT:
+        if state is RelayState.CUT:
             for writer in set(self._writers):
                 reset_connection(writer)
 
@@ -75,7 +75,7 @@
             reset_connection(writer)
             return
         # The state may have become CUT while the connection to the target was opened.
-        if self._state is GateState.CUT:
+        if self._state is RelayState.CUT:
             reset_connection(writer)
             target_streams[1].close()
             return
@@ -111,7 +111,7 @@
 
     async def _wait_until_open(self, is_answer: bool) -> None:
         blocking_states = (
-            {GateState.PARTITIONED, GateState.ONE_WAY} if is_answer else {GateState.PARTITIONED}
+            {RelayState.PARTITIONED, RelayState.ONE_WAY} if is_answer else {RelayState.PARTITIONED}
         )
         async with self._changed:
             await self._changed.wait_for(lambda: self._state not in blocking_states)
--- a/packages/burdockquay-standins/src/burdockquay_standins/_feed_table.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_feed_table.py
@@ -48,7 +48,7 @@
         return self.changes[-1].revision if self.changes else 0
 
 
-class ForgottenError(Exception):
+class HistoryDiscardedError(Exception):
     """The requested revision is not in the history of the store."""
 
 
@@ -73,7 +73,7 @@
     2
     >>> [row.value for row in store.changes("fruit", 1)]
     [None]
-    >>> store.return_from(store.copy(1))
+    >>> store.restore_from(store.copy(1))
     >>> store.era, [row.key for row in store.rows("fruit")]
     (2, ['apple'])
     """
@@ -104,13 +104,13 @@
 
         Raises
         ------
-        ForgottenError
+        HistoryDiscardedError
         """
         if not self._discarded_upto <= after <= self.revision:
-            raise ForgottenError
+            raise HistoryDiscardedError
         return [row for row in self._changes if row.table == table and row.revision > after]
 
-    def forget(self) -> None:
+    def discard_history(self) -> None:
         """Discard the complete history of changes; the rows stay."""
         self._discarded_upto = self.revision
 
@@ -120,7 +120,7 @@
         changes = tuple(row for row in self._changes if row.revision <= upto)
         return FeedCopy(changes, min(self._discarded_upto, upto))
 
-    def return_from(self, copy: FeedCopy) -> None:
+    def restore_from(self, copy: FeedCopy) -> None:
         """Begin a new era with the rows and the history of a copy."""
         self.era += 1
         self.revision = copy.revision
@@ -134,7 +134,7 @@
 
         Raises
         ------
-        ForgottenError
+        HistoryDiscardedError
         EraEndedError
         """
         loop = asyncio.get_running_loop()
--- a/packages/burdockquay-standins/src/burdockquay_standins/_platform.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_platform.py
@@ -81,7 +81,7 @@
         Delay of every call before it is executed, seconds.
     drop_share : float
         Probability that a transaction takes effect but gets no answer.
-    lose_next : int
+    drop_next : int
         Number of the next transactions that take effect but get no answer.
     stale_until : float
         Monotonic time, in seconds, until which reads are answered from the state at the time of
@@ -91,7 +91,7 @@
     outage: bool = False
     slow_s: float = 0.0
     drop_share: float = 0.0
-    lose_next: int = 0
+    drop_next: int = 0
     stale_until: float = 0.0
 
 
@@ -155,7 +155,7 @@
         self._served_vms.record(self.vms, time.monotonic())
         return was_listed
 
-    def switch(self, body: dict[str, Any], now: float) -> None:
+    def set_switches(self, body: dict[str, Any], now: float) -> None:
         """Set the fault switches that the body names.
 
         An integer ``lose_confirmation`` is the number of the next transactions that take effect but
@@ -186,11 +186,11 @@
 
     def _set_lost_confirmations(self, amount: float) -> None:
         if isinstance(amount, int):
-            self.faults.lose_next, self.faults.drop_share = amount, 0.0
+            self.faults.drop_next, self.faults.drop_share = amount, 0.0
             return
         if amount > 1.0:
             raise ValueError(f"lose_confirmation: expected a share from 0.0 to 1.0, got {amount!r}")
-        self.faults.lose_next, self.faults.drop_share = 0, amount
+        self.faults.drop_next, self.faults.drop_share = 0, amount
 
     def _with_faults(
         self, handler: Callable[[web.Request], Awaitable[web.Response]]
@@ -250,8 +250,8 @@
         return web.json_response({"conflicts": list(error.conflicts)}, status=409)
 
     def _drops_confirmation(self) -> bool:
-        if self.faults.lose_next > 0:
-            self.faults.lose_next -= 1
+        if self.faults.drop_next > 0:
+            self.faults.drop_next -= 1
             return True
         return self.faults.drop_share > 0.0 and self._rng.random() < self.faults.drop_share
 
@@ -294,7 +294,7 @@
     async def _set_faults(self, request: web.Request) -> web.Response:
         body = await read_object(request)
         try:
-            self.switch(body, time.monotonic())
+            self.set_switches(body, time.monotonic())
         except ValueError as error:
             raise bad_request(str(error)) from error
         return web.json_response({})
--- a/packages/burdockquay-standins/src/burdockquay_standins/_raw_server.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_raw_server.py
@@ -63,7 +63,7 @@
         """Reset the connection; data written before may still arrive."""
         reset_connection(self.writer)
 
-    async def closed(self) -> None:
+    async def wait_until_closed(self) -> None:
         """Wait until the client has closed the connection; discard what it sends."""
         while await self.reader.read(65536):
             pass
@@ -119,7 +119,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await self.go_down()
+        await self.crash_server()
         self._port_holder.close()
 
     def refuse_connections(self) -> None:
@@ -130,7 +130,7 @@
             self._port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._port_holder.bind(("127.0.0.1", self.port))
 
-    async def go_down(self) -> None:
+    async def crash_server(self) -> None:
         """Refuse new connections and reset the open ones, as a crash does."""
         self.refuse_connections()
         for task in tuple(self._tasks):
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_faulty_relay.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_faulty_relay.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from burdockquay_standins import Gate, GateState, RawServer
+from burdockquay_standins import FaultyRelay, RawServer, RelayState
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
@@ -16,7 +16,7 @@
 
 @asynccontextmanager
 async def connected():
-    async with RawServer(answer) as server, Gate(server.port) as gate:
+    async with RawServer(answer) as server, FaultyRelay(server.port) as gate:
         reader, writer = await asyncio.open_connection("127.0.0.1", gate.port)
         yield server, gate, reader, writer
         writer.close()
@@ -28,22 +28,22 @@
         assert await reader.readexactly(4) == b"here"
 
 
-@pytest.mark.parametrize(("state", "heard"), [(GateState.PARTITIONED, 0), (GateState.ONE_WAY, 1)])
+@pytest.mark.parametrize(("state", "heard"), [(RelayState.PARTITIONED, 0), (RelayState.ONE_WAY, 1)])
 async def test_held_data_passes_after_the_partition(state, heard):
     async with connected() as (server, gate, reader, writer):
-        await gate.become(state)
+        await gate.set_state(state)
         writer.write(REQUEST)
         answering = asyncio.create_task(reader.readexactly(4))
         await asyncio.sleep(0.1)
         assert len(server.received) == heard
         assert not answering.done()
-        await gate.become(GateState.OPEN)
+        await gate.set_state(RelayState.OPEN)
         assert await answering == b"here"
 
 
 async def test_cut_resets_old_and_new_connections():
     async with connected() as (_, gate, reader, _):
-        await gate.become(GateState.CUT)
+        await gate.set_state(RelayState.CUT)
         with pytest.raises(ConnectionResetError):
             await reader.readexactly(1)
         late, writer = await asyncio.open_connection("127.0.0.1", gate.port)
@@ -53,8 +53,8 @@
 
 
 async def test_unavailable_server_leads_to_a_reset():
-    async with RawServer(answer) as server, Gate(server.port) as gate:
-        await server.go_down()
+    async with RawServer(answer) as server, FaultyRelay(server.port) as gate:
+        await server.crash_server()
         reader, writer = await asyncio.open_connection("127.0.0.1", gate.port)
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await reader.readexactly(1)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_failures.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_failures.py
@@ -38,7 +38,7 @@
     The slot reads its rows back. The caller gets the answer, and a repeat gets the same answer.
     """
     async with deployment(engines=1, services=1) as running:
-        running.platform.faults.lose_next = 2
+        running.platform.faults.drop_next = 2
         first = await running.ask(HOLD, {"chapel": 1}, Idempotency_Key="h-1")
         second = await running.ask(HOLD, {"chapel": 1}, Idempotency_Key="h-1")
         assert first[0] == 200
--- a/packages/burdockquay/src/burdockquay/_bundle.py
+++ b/packages/burdockquay/src/burdockquay/_bundle.py
@@ -20,7 +20,7 @@
 }
 """Folders that the paths in a bundle are relative to, since it may be built elsewhere."""
 
-FILE = os.path.join(ROOTS["libraries"], "modules.bundle")
+BUNDLE_PATH = os.path.join(ROOTS["libraries"], "modules.bundle")
 """Path of the bundle of an installation; the file is optional."""
 
 INDEX_SIZE_FIELD_BYTES = 8
@@ -78,7 +78,7 @@
         exec(marshal.loads(os.pread(self.fd, size, self.code_offset + offset)), module.__dict__)
 
 
-def use_bundle(file: str = FILE, roots: dict[str, str] = ROOTS) -> None:
+def use_bundle(file: str = BUNDLE_PATH, roots: dict[str, str] = ROOTS) -> None:
     """Install a finder for a bundle, if there is one and it was built for this interpreter."""
     try:
         fd = os.open(file, os.O_RDONLY)
--- a/packages/burdockquay/src/burdockquay/tests/test_cli.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_cli.py
@@ -121,7 +121,7 @@
     assert code == ExitCode.UNAVAILABLE
     assert "nothing was written" in err
     platform.faults.outage = False
-    platform.faults.lose_next = 1
+    platform.faults.drop_next = 1
     code, out, _ = call("record", "put", text=GROUP)
     assert code == ExitCode.DONE
     assert "found by reading back" in out
--- a/tests/test_benchmark_callers.py
+++ b/tests/test_benchmark_callers.py
@@ -123,7 +123,7 @@
 
 async def test_crash_is_broken_and_caller_timeout_is_left(callers):
     async with EngineStandin(EngineParameters(seed=SEED, base_step_s=0.02)) as server:
-        server.faults.switch({"crash_after_tokens": 3}, 0.0)
+        server.faults.set_switches({"crash_after_tokens": 3}, 0.0)
         assert (await send_call(callers, server)).outcome == "broken"
     async with EngineStandin(EngineParameters(seed=SEED, base_step_s=10.0)) as server:
         assert (await send_call(callers, server, patience_s=0.05)).outcome == "left"
