--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_load_relay.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_load_relay.py
@@ -170,7 +170,7 @@
     assert (update.is_whole, update.shares) == (False, {"u": LoadShare(500, 2)})
 
 
-def test_many_parts_are_told_in_small_messages():
+def test_many_parts_are_sent_in_small_messages():
     """A process starts and receives thousands of prompt parts that upstreams hold.
 
     In one message to each process of its failure domain, they filled the link of a small VM for a
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
@@ -480,7 +480,7 @@
     return model
 
 
-def test_waits_of_a_burst_do_not_make_reading_seem_free(overloaded_model, upstreams):
+def test_waiting_times_of_a_burst_do_not_flatten_the_reading_model(overloaded_model, upstreams):
     """More prompts arrive than the engines can read, and each waits seconds for a place there.
 
     The time to the first token then hardly depends on the tokens, and a line fitted to all of it
