--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
@@ -36,7 +36,7 @@
 ERA_POLL_INTERVAL_S = 0.5
 """Interval between two reads of a table whose era is known and not open, seconds."""
 
-HOLD_S = NOTICE_LIMIT_S + RESTORE_LIMIT_S + HOLD_MARGIN_S
+CLAIM_HOLD_S = NOTICE_LIMIT_S + RESTORE_LIMIT_S + HOLD_MARGIN_S
 """Time without claims after a new era was first observed, seconds."""
 
 
@@ -62,7 +62,9 @@
 
     _constraints: ClassVar[dict[str, list[Constraint]]] = {"hold_s": [Interval(float, 0.0)]}
 
-    def __init__(self, claims: ClaimStore, clock: Callable[[], float], hold_s: float = HOLD_S):
+    def __init__(
+        self, claims: ClaimStore, clock: Callable[[], float], hold_s: float = CLAIM_HOLD_S
+    ):
         self.claims = claims
         self.clock = clock
         self.hold_s = hold_s
@@ -92,7 +94,7 @@
 
     def may_claim(self, era: int) -> bool:
         """Return whether a claim may be made in an era; the table accepts only its own era."""
-        return era == 0 or era == self._open_era == self.claims.memory.era
+        return era == 0 or era == self._open_era == self.claims.recent_claims.era
 
     def is_claim_too_old(self, since: float) -> bool:
         """Return whether a claim begun at ``since`` is too old to send the request.
@@ -108,10 +110,10 @@
         """Return whether a claim may be made in an era; reads the table if that is not known."""
         is_due = era > self._observed_era or self.clock() - self._polled_at >= ERA_POLL_INTERVAL_S
         if not self.may_claim(era) and is_due:
-            await self.look()
+            await self.refresh_era()
         return self.may_claim(era)
 
-    async def look(self) -> Result[None, TableError]:
+    async def refresh_era(self) -> Result[None, TableError]:
         """Read the era of the table, and restore claims or permit new ones if it is new.
 
         Notes
@@ -130,12 +132,12 @@
             return read
         (row,) = read.ok()
         era = self._record_era()
-        if self.claims.memory.era < era:
+        if self.claims.recent_claims.era < era:
             restored = await self._restorer.restore()
             if restored.is_err():
                 return Err(restored.err())
             self._report = restored.ok()
-        if self._open_era < era and self.claims.memory.era == era:
+        if self._open_era < era and self.claims.recent_claims.era == era:
             await self._open_when_due(era, row)
         return Ok(None)
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_slot.py
@@ -9,7 +9,7 @@
 
 from burdockquay_protocol import ErrorKind, NotRun, Run
 from burdockquay_state import (
-    START_LIMIT_S,
+    ATTEMPT_START_LIMIT_S,
     Claim,
     ClaimRefusal,
     ClaimRequest,
@@ -31,7 +31,7 @@
 }
 
 
-class OnceGuard:
+class AtMostOnceGuard:
     """Allows each claimed attempt to be sent upstream once.
 
     Parameters
@@ -87,7 +87,7 @@
             another attempt or a cancellation was first; the entry settles the outcome.
         """
         if not self.outcomes.has_room:
-            detail = "too many outcomes are waiting for the table service"
+            detail = "too many outcomes wait for the table service"
             return _refuse(run, ErrorKind.TABLE_UNAVAILABLE, detail)
         era = era_of(run.expected_version)
         if not await self.eras.admits(era):
@@ -133,7 +133,7 @@
             attempt_id=f"{run.request}/{run.attempt}/{self._attempts}",
             incarnation=self.incarnation,
             digest=run.digest,
-            not_after=min(now + run.deadline_s, started_at + START_LIMIT_S),
+            not_after=min(now + run.deadline_s, started_at + ATTEMPT_START_LIMIT_S),
         )
 
     async def _claim(self, request: ClaimRequest, now: float) -> Result[Claim, ClaimRefusal]:
@@ -147,9 +147,9 @@
 
     def _refuse_era(self, run: Run, era: int) -> Result[Claim, NotRun]:
         if era < self.eras.era:
-            detail = "the table was restored from a copy since the attempt was made"
+            detail = "the table returned from a copy since the attempt was made"
             return _refuse(run, ErrorKind.CLAIM_LOST, detail)
-        detail = "claims that the table has lost may still be restored"
+        detail = "claims that the table lost may still be written again"
         return _refuse(run, ErrorKind.TABLE_UNAVAILABLE, detail)
 
     def _refuse_claim(
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_orders.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_orders.py
@@ -13,8 +13,8 @@
 from result import Result
 
 from burdockquay_state import (
+    ATTEMPT_START_LIMIT_S,
     ORDER_ORGANISATION,
-    START_LIMIT_S,
     Claim,
     ClaimRequest,
     ClaimRow,
@@ -109,7 +109,7 @@
     return f"{engine}/{record.name}/{digest}"
 
 
-def concerns(record: PlacementRecord, group: str, vm: str) -> bool:
+def applies_to_engine(record: PlacementRecord, group: str, vm: str) -> bool:
     """Return whether a record applies to the engine of a VM."""
     return record.group == group and (not record.vms or vm in record.vms)
 
@@ -183,7 +183,7 @@
         OrderState
             After ``WAITING`` the caller retries later.
         """
-        await self.turns.tend(clock())
+        await self.turns.release_due(clock())
         name = order_id(record, self.engine)
         if name in self._settled:
             return self._settled[name]
@@ -288,7 +288,7 @@
             attempt_id=f"{name}/{self._attempts}",
             incarnation=self.incarnation,
             digest=record.order,
-            not_after=now + START_LIMIT_S,
+            not_after=now + ATTEMPT_START_LIMIT_S,
         )
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
@@ -17,10 +17,10 @@
 
 from burdockquay_coordination import (
     OPEN_ERA_KEY,
+    AtMostOnceGuard,
+    AtMostOnceResolver,
+    AtMostOnceTicket,
     ClaimEra,
-    OnceGuard,
-    OnceResolver,
-    OnceTicket,
     OutcomeWriter,
     SettledState,
 )
@@ -185,7 +185,7 @@
         super().__init__(cluster, incarnation)
         self.outcomes = OutcomeWriter(self.claims, cluster.clock, retry_s=0.0)
         self.eras = cluster.claim_era(self.claims, cluster.clock)
-        self.guard = OnceGuard(self.claims, self.outcomes, self.eras, incarnation)
+        self.guard = AtMostOnceGuard(self.claims, self.outcomes, self.eras, incarnation)
 
     async def serve(self, run: Run, call: Call) -> None:
         begun = await self.guard.begin(run, self.cluster.clock)
@@ -247,7 +247,7 @@
         call.reported, call.answer = reported, answer
 
 
-def make_run(ticket: OnceTicket, call: Call, attempt: int) -> Run:
+def make_run(ticket: AtMostOnceTicket, call: Call, attempt: int) -> Run:
     return Run(
         request=call.name,
         attempt=attempt,
@@ -283,7 +283,7 @@
         self,
         claim_store: type[ClaimStore] = ClaimStore,
         claim_era: type[ClaimEra] = ClaimEra,
-        resolver: type[OnceResolver] = OnceResolver,
+        resolver: type[AtMostOnceResolver] = AtMostOnceResolver,
         table: type[MemoryTable] = MemoryTable,
         era: int = 0,
     ):
@@ -422,7 +422,7 @@
     def return_to_copy(self) -> None:
         """Restore the table from the copy, and record which claims it has lost."""
         before = self.table._rows
-        self.table.return_to(self.copy)
+        self.table.restore_copy(self.copy)
         for row_key, row in before.items():
             claim = decode_row(row).ok() if row_key.startswith(CLAIM_PREFIX) else None
             kept = self.table._rows.get(row_key)
@@ -441,7 +441,7 @@
 
     def look_up_era(self, slot: int) -> None:
         """Start a slot's read of the era of the table."""
-        self.spawn(self.slots[slot].eras.look())
+        self.spawn(self.slots[slot].eras.refresh_era())
         self.run_until_blocked()
 
     def restore_in_time(self, slot: int) -> None:
@@ -475,7 +475,7 @@
             self.take_copy()
 
     def _has_restored(self, process: Process) -> bool:
-        return process.claims.memory.era == self.table.era
+        return process.claims.recent_claims.era == self.table.era
 
     def _drop_restored_claims(self) -> None:
         restored = {slot.incarnation for slot in self.slots if self._has_restored(slot)}
--- a/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_caller_http.py
@@ -30,8 +30,8 @@
 from ._early_listener import BACKLOG
 from ._events import Event, describe_fault, log_event
 from ._metrics import REQUESTS, refusal_counter
+from ._pending_connections import accept_pending
 from ._status_http import add_status_routes
-from ._take_in import accept_waiting
 
 if TYPE_CHECKING:
     from .entry import Entry
@@ -125,7 +125,7 @@
     async def close(self) -> None:
         """Refuse pending connections and requests, then stop listening."""
         self._aborting = True
-        await accept_waiting(self._listening)
+        await accept_pending(self._listening)
         if self._request_tasks:
             await asyncio.wait(set(self._request_tasks), timeout=ANSWER_TIMEOUT_S)
         await self._runner.cleanup()
@@ -401,9 +401,7 @@
         return web.Response(status=head.status, body=b"".join(pieces), headers=headers)
 
 
-_STREAM_ABORTED = RequestError(
-    ErrorKind.LEAVING, "the answer was interrupted", run=RunState.UNKNOWN
-)
+_STREAM_ABORTED = RequestError(ErrorKind.LEAVING, "the answer broke off", run=RunState.UNKNOWN)
 
 
 class _RequestScope:
@@ -441,7 +439,7 @@
         call = self.call
         if call is None or not (call.may_have_run or call.link is not None):
             return RequestError(ErrorKind.LEAVING)
-        return RequestError(ErrorKind.OUTCOME_UNKNOWN, "the process has stopped")
+        return RequestError(ErrorKind.OUTCOME_UNKNOWN, "the process has ended")
 
 
 def digest_request(organisation: str, method: str, path: str, body: bytes) -> str:
@@ -495,5 +493,5 @@
         async with asyncio.timeout(BODY_TIMEOUT_S):
             return await request.read()
     except TimeoutError:
-        detail = f"expected the complete body within {BODY_TIMEOUT_S:g} s"
+        detail = f"expected the whole body within {BODY_TIMEOUT_S:g} s"
         raise CallError(RequestError(ErrorKind.BAD_REQUEST, detail)) from None
--- a/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
@@ -11,7 +11,7 @@
 from websockets.asyncio.client import connect
 from websockets.exceptions import ConnectionClosed, WebSocketException
 
-from burdockquay_coordination import Candidate, MembershipBook
+from burdockquay_coordination import Candidate, MembershipTracker
 from burdockquay_protocol import (
     Cancel,
     ClassDemand,
@@ -34,12 +34,12 @@
 from ._peer import (
     HANDSHAKE_TIMEOUT_S,
     HEARTBEAT_S,
-    SILENCE_S,
+    RECEIVE_TIMEOUT_S,
     WEBSOCKET_OPTIONS,
     Identity,
     PeerConnection,
     TrafficCounts,
-    greet_peer,
+    initiate_handshake,
 )
 
 
@@ -70,7 +70,7 @@
         Identity of this entry.
     key : bytes
         Shared key of all processes.
-    book : MembershipBook
+    book : MembershipTracker
     sync : ConfigurationSync
     listener : LinkListener
     traffic : TrafficCounts
@@ -85,7 +85,7 @@
         target: VmEntry,
         identity: Identity,
         key: bytes,
-        book: MembershipBook,
+        book: MembershipTracker,
         sync: Any,
         listener: LinkListener,
         traffic: TrafficCounts,
@@ -204,7 +204,7 @@
         self._unreachable = True
 
     async def _serve(self, websocket: Any) -> None:
-        handshake = await greet_peer(websocket, self.identity, self.key, self.traffic)
+        handshake = await initiate_handshake(websocket, self.identity, self.key, self.traffic)
         if isinstance(handshake, Err):
             log_event(Event.HANDSHAKE_REFUSED, vm=self.vm, reason=handshake.err())
             self.count("peer.handshake_refused")
@@ -232,7 +232,7 @@
         self.target = attrs.evolve(
             self.target, vm=peer.vm, failure_domain=peer.failure_domain, group=peer.group
         )
-        self.book.learn(self.target, self.clock.now())
+        self.book.add_configured_slot(self.target, self.clock.now())
 
     def _on_connected(self, connection: PeerConnection) -> None:
         self.connection = connection
@@ -242,7 +242,7 @@
             log_event(Event.PEER_INCARNATION_CHANGED, vm=self.vm, incarnation=incarnation)
         self.book.connected(self.vm, incarnation, self.clock.now())
         log_event(Event.PEER_CONNECTED, vm=self.vm, incarnation=incarnation)
-        connection.keep_alive(HEARTBEAT_S, SILENCE_S, self.sync.heartbeat)
+        connection.keep_alive(HEARTBEAT_S, RECEIVE_TIMEOUT_S, self.sync.heartbeat)
         self.sync.add_peer(connection)
         self.listener.link_up(self)
 
@@ -295,6 +295,6 @@
         self._outstanding_at_status = self.outstanding
         self.full_classes = set()
         if message.leaving:
-            self.book.said_leaving(self.vm, self.connection.peer.incarnation, self.clock.now())
+            self.book.record_leaving(self.vm, self.connection.peer.incarnation, self.clock.now())
         self.sync.fetch_if_behind(self.connection, message.revision)
         self.listener.link_status(self)
--- a/packages/burdockquay-transport/src/burdockquay_transport/slot.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/slot.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from burdockquay_coordination import (
+    AtMostOnceGuard,
     ClaimEra,
     LoadTurns,
-    OnceGuard,
     OrderRunner,
     OutcomeWriter,
     PlaceGrant,
@@ -39,7 +39,7 @@
 from ._clock import ticks
 from ._era_follower import EraFollower
 from ._order_follower import HttpOrderTarget, OrderFollower
-from ._peer import HEARTBEAT_S, SILENCE_S, PeerConnection
+from ._peer import HEARTBEAT_S, RECEIVE_TIMEOUT_S, PeerConnection
 from ._peer_server import PeerServer
 from ._process import Process
 from ._slot_runner import SlotRunner
@@ -139,7 +139,7 @@
         holder = claim_incarnation(settings.vm, self.identity.incarnation)
         eras = ClaimEra(claims, self._clock.now)
         self._eras = EraFollower(eras, self._clock)
-        self._guard = OnceGuard(claims, self._outcomes, eras, holder)
+        self._guard = AtMostOnceGuard(claims, self._outcomes, eras, holder)
         self._expiry = ClaimExpiry(
             self._platform, holder, settings.claim_retention_s, self._clock, self._rng
         )
@@ -228,7 +228,7 @@
         return record.priority if record else 0
 
     def _peer_up(self, peer: PeerConnection) -> None:
-        peer.keep_alive(HEARTBEAT_S, SILENCE_S, self._sync.heartbeat)
+        peer.keep_alive(HEARTBEAT_S, RECEIVE_TIMEOUT_S, self._sync.heartbeat)
         self._sync.add_peer(peer)
         self.suspicions.send_all(peer)
         peer.post(self._make_status())
@@ -378,7 +378,7 @@
                 "outcomes_pending": self._outcomes.pending,
                 "outcomes_retried": self._outcomes.retries,
                 "outcomes_lost": self._outcomes.lost,
-                "remembered": len(self._claims.memory),
+                "remembered": len(self._claims.recent_claims),
                 "era": self._claims.table.era,
                 "table_transactions": self._committer.writes,
                 "table_writes": self._committer.operations,
