--- a/conftest.py
+++ b/conftest.py
@@ -18,11 +18,12 @@
 settings.load_profile(os.environ.get("BURDOCKQUAY_HYPOTHESIS_PROFILE", "ci"))
 
 
-@pytest.fixture
+@pytest.fixture(scope="module", autouse=True)
 def garbage_collected():
-    """Run the finalizers of earlier tests' garbage before a test that parses sources.
+    """Run the finalizers of earlier modules' garbage before the tests of a module.
 
-    If the collector runs during ``ast.parse`` and a finalizer formats a traceback, which parses a
-    line too, Python 3.11 raises SystemError: AST constructor recursion depth mismatch.
+    If the collector runs during ``ast.parse``, which hypothesis and some tests call, and a
+    finalizer formats a traceback, which parses a line too, Python 3.11 raises SystemError: AST
+    constructor recursion depth mismatch.
     """
     gc.collect()
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_events.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_events.py
@@ -73,7 +73,6 @@
         log_event(Event.REQUEST_REFUSED, **{name: "x"})
 
 
-@pytest.mark.usefixtures("garbage_collected")
 def test_no_call_in_the_sources_names_a_forbidden_field():
     for path in PACKAGES.glob("*/src/**/*.py"):
         if "tests" in path.parts:
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -74,7 +74,6 @@
             yield node.module.split(".")[0]
 
 
-@pytest.mark.usefixtures("garbage_collected")
 @pytest.mark.parametrize("package", ALLOWED)
 def test_package_imports_only_lower_layers(package):
     sources = [
@@ -102,7 +101,6 @@
     assert found == set()
 
 
-@pytest.mark.usefixtures("garbage_collected")
 def test_adapter_imports_layers_below_and_no_other_package_imports_it():
     own_imports = {name for path in source_files(ADAPTER) for name in imported_packages(path)}
     assert own_imports & set(ALLOWED) <= {
@@ -134,7 +132,6 @@
             yield from (name for name in names if (path.parent / f"{name}.py").exists())
 
 
-@pytest.mark.usefixtures("garbage_collected")
 @pytest.mark.parametrize("folder", FORWARDING, ids=lambda folder: folder.parts[-2])
 def test_modules_of_a_folder_have_no_import_cycles(folder):
     modules = {path.stem: path for path in folder.glob("*.py") if path.stem != "__init__"}
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -55,7 +55,6 @@
             yield first.value
 
 
-@pytest.mark.usefixtures("garbage_collected")
 def test_every_metric_is_on_the_page():
     page = (ROOT / "docs" / "metrics.md").read_text()
     sources = (ROOT / "packages" / "burdockquay-transport" / "src").glob("**/*.py")
