--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_health.py
@@ -189,13 +189,13 @@
 
     Examples
     --------
-    >>> gate = ProbeCircuitBreaker(successes_needed=2)
-    >>> gate.failed(now=0.0)
-    >>> gate.probe_result(True, now=1.0)
-    >>> gate.healthy
+    >>> breaker = ProbeCircuitBreaker(successes_needed=2)
+    >>> breaker.failed(now=0.0)
+    >>> breaker.probe_result(True, now=1.0)
+    >>> breaker.healthy
     False
-    >>> gate.probe_result(True, now=2.0)
-    >>> gate.healthy
+    >>> breaker.probe_result(True, now=2.0)
+    >>> breaker.healthy
     True
     """
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
@@ -128,11 +128,11 @@
         tokens = ahead + own
         if fetched:
             reading_s = self.first_token_s(upstream, tokens, now, is_short)
-            self.fetch.learn(fetched, seconds - reading_s)
+            self.fetch.add_sample(fetched, seconds - reading_s)
             return
         line = self._first_token_model(is_short)
-        upstream.reading.learn(seconds / line.predict(tokens), now)
-        line.learn(tokens, seconds)
+        upstream.reading.add_sample(seconds / line.predict(tokens), now)
+        line.add_sample(tokens, seconds)
         self.first_token.record_own_reading(own, seconds)
 
     def _reading_factor(self, upstream: Upstream, now: float) -> float:
@@ -154,8 +154,8 @@
             return
         event_s = seconds / events
         running = upstream.running(now)
-        upstream.writing.learn(event_s / self.event.predict(running), now)
-        self.event.learn(running, event_s)
+        upstream.writing.add_sample(event_s / self.event.predict(running), now)
+        self.event.add_sample(running, event_s)
         if tokens:
             ratio = tokens / (events + 1)
             self.tokens_per_event += RATIO_WEIGHT * (ratio - self.tokens_per_event)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_linear.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_linear.py
@@ -39,7 +39,7 @@
     --------
     >>> model = LinearModel(0.03, 1 / 50_000, 5000)
     >>> for tokens in [1000, 4000, 9000] * 60:
-    ...     model.learn(tokens, 0.05 + tokens / 100_000)
+    ...     model.add_sample(tokens, 0.05 + tokens / 100_000)
     >>> round(model.predict(5000), 2)
     0.1
     """
@@ -58,7 +58,7 @@
         """Return the time at ``x``, seconds."""
         return self.offset + x * self.slope
 
-    def learn(self, x: float, seconds: float) -> None:
+    def add_sample(self, x: float, seconds: float) -> None:
         """Update the model with a sample."""
         seconds = min(seconds, MAX_SAMPLE_RATIO * self.predict(x))
         self._sums = [value * SAMPLE_DECAY for value in self._sums]
@@ -87,7 +87,7 @@
         """Return the factor, which decays to 1 while there are no samples."""
         return 1 + (self._factor - 1) * 0.5 ** ((now - self._at) / FACTOR_HALF_LIFE_S)
 
-    def learn(self, ratio: float, now: float) -> None:
+    def add_sample(self, ratio: float, now: float) -> None:
         """Update the factor with the ratio of a time to the prediction of the common model."""
         low, high = FACTOR_RANGE
         known = self.value(now)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_reading.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_reading.py
@@ -74,7 +74,7 @@
         """Return the time to a first token after the given number of prompt tokens, seconds."""
         return self.offset + tokens * self.slope
 
-    def learn(self, tokens: float, seconds: float) -> None:
+    def add_sample(self, tokens: float, seconds: float) -> None:
         """Update the offset with the time of a first token after the given number of tokens."""
         seconds = min(seconds, MAX_SAMPLE_RATIO * self.predict(tokens))
         rest_s = seconds - tokens * self.slope
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
@@ -195,7 +195,7 @@
 def test_slow_upstream_is_avoided_and_retried(upstreams, model):
     preferred = place(upstreams, short_prompt(), model, 0.0).upstream
     for _ in range(20):
-        preferred.reading.learn(6.0, 0.0)
+        preferred.reading.add_sample(6.0, 0.0)
     assert place(upstreams, short_prompt(), model, 0.1).upstream is not preferred
     assert preferred.reading.value(60.0) < 1.1
 
@@ -238,9 +238,9 @@
     rng = random.Random(3)
     for _ in range(200):
         tokens = rng.uniform(600, 20_000)
-        model.learn(tokens, 0.08 + tokens / 90_000)
+        model.add_sample(tokens, 0.08 + tokens / 90_000)
     assert model.predict(9000) == pytest.approx(0.18, rel=0.05)
-    model.learn(9000, 30.0)
+    model.add_sample(9000, 30.0)
     assert model.predict(9000) == pytest.approx(0.18, rel=0.25)
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
@@ -40,10 +40,10 @@
         self.unreachable = unreachable
         self.ledger = OutcomeRelay()
         self.ledger.set_recipients(near=map(str, range(PROCESSES)), far=[])
-        self.books = [UpstreamRegistry(self.rng) for _ in range(PROCESSES)]
+        self.registries = [UpstreamRegistry(self.rng) for _ in range(PROCESSES)]
         listed = tuple(entry(f"u{number}", 1) for number in range(UPSTREAMS))
-        for book in self.books:
-            book.apply(UpstreamChanges(True, listed), 0.0)
+        for registry in self.registries:
+            registry.apply(UpstreamChanges(True, listed), 0.0)
 
     def run(self):
         """Return the total number of failed requests."""
@@ -55,8 +55,8 @@
         return failed
 
     def _send(self, now):
-        book = self.rng.choice(self.books)
-        upstream = choose_upstream(book.of_service("s"), "a", (), now, self.rng)
+        registry = self.rng.choice(self.registries)
+        upstream = choose_upstream(registry.of_service("s"), "a", (), now, self.rng)
         if upstream.id not in FAILING:
             upstream.health.record_success(now)
         elif self.unreachable:
@@ -66,17 +66,17 @@
         return upstream.id in FAILING
 
     def _exchange_outcomes(self, now):
-        for number, book in enumerate(self.books):
+        for number, registry in enumerate(self.registries):
             sent = {
                 upstream.id: outcomes
-                for upstream in book.all()
+                for upstream in registry.all()
                 if (outcomes := upstream.health.take_unsent_outcomes()) is not None
             }
             self.ledger.receive_update(str(number), sent, is_near=True)
-        for number, book in enumerate(self.books):
+        for number, registry in enumerate(self.registries):
             for id_, outcomes in self.ledger.take(str(number)).items():
                 if self.shares:
-                    book.find(id_).health.apply_peer_outcomes(outcomes, now)
+                    registry.find(id_).health.apply_peer_outcomes(outcomes, now)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -125,11 +125,11 @@
     If all retried it at the same moment, as many requests would fail as without shared outcomes.
     """
     rng = random.Random(1)
-    books = [UpstreamRegistry(rng) for _ in range(20)]
+    registries = [UpstreamRegistry(rng) for _ in range(20)]
     returned = []
-    for book in books:
-        book.apply(UpstreamChanges(True, (entry("a", 1),)), 0.0)
-        health = book.of_service("s")[0].health
+    for registry in registries:
+        registry.apply(UpstreamChanges(True, (entry("a", 1),)), 0.0)
+        health = registry.of_service("s")[0].health
         health.apply_peer_outcomes(Outcomes(failed=40), 0.0)
         returned.append(next(t for t in range(100) if not health.is_degraded(0.1 * t)))
     assert max(returned) - min(returned) > 10
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
@@ -33,105 +33,105 @@
     return UpstreamChanges(False, listed, removed, last_failure_at=RETURNED)
 
 
-def accepts_work(book):
-    return [item.id for item in book.of_service("s") if item.accepts_work()]
+def accepts_work(registry):
+    return [item.id for item in registry.of_service("s") if item.accepts_work()]
 
 
 @pytest.fixture
-def book():
+def registry():
     """Return a registry with one upstream that was read in the first era."""
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry(1, 50, 5),)), 0.0)
-    return book
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry(1, 50, 5),)), 0.0)
+    return registry
 
 
-def test_entry_with_a_lower_revision_is_applied_after_a_restore(book):
+def test_entry_with_a_lower_revision_is_applied_after_a_restore(registry):
     """An upstream starts draining; its revisions began again below the one that is known."""
-    book.apply(returned(entry(2, 20, 4)), RETURNED)
-    book.apply(changed(entry(2, 30, 6, leaving=True)), RETURNED)
-    assert accepts_work(book) == []
+    registry.apply(returned(entry(2, 20, 4)), RETURNED)
+    registry.apply(changed(entry(2, 30, 6, leaving=True)), RETURNED)
+    assert accepts_work(registry) == []
 
 
 @pytest.mark.parametrize("sequence", [4, 6])
-def test_old_entry_of_the_copy_does_not_undo_draining(book, sequence):
-    book.apply(changed(entry(1, 60, 6, leaving=True)), 90.0)
-    book.apply(returned(entry(2, 50, sequence)), RETURNED)
-    assert accepts_work(book) == []
-    book.apply(changed(entry(2, 70, 8)), RETURNED + 1)
-    assert accepts_work(book) == ["a"], "its newer entry counts"
+def test_old_entry_of_the_copy_does_not_undo_draining(registry, sequence):
+    registry.apply(changed(entry(1, 60, 6, leaving=True)), 90.0)
+    registry.apply(returned(entry(2, 50, sequence)), RETURNED)
+    assert accepts_work(registry) == []
+    registry.apply(changed(entry(2, 70, 8)), RETURNED + 1)
+    assert accepts_work(registry) == ["a"], "its newer entry counts"
 
 
-def test_late_entry_of_the_former_era_is_ignored(book):
-    book.apply(returned(entry(2, 20, 7, leaving=True)), RETURNED)
-    book.apply(changed(entry(1, 90, 8)), RETURNED)
-    assert accepts_work(book) == []
+def test_late_entry_of_the_former_era_is_ignored(registry):
+    registry.apply(returned(entry(2, 20, 7, leaving=True)), RETURNED)
+    registry.apply(changed(entry(1, 90, 8)), RETURNED)
+    assert accepts_work(registry) == []
 
 
-def test_upstream_with_an_unreadable_row_after_a_restore_gets_no_work(book):
-    book.apply(returned(unreadable=(UnreadableEntry("a", 20, 2),)), RETURNED)
-    assert accepts_work(book) == []
+def test_upstream_with_an_unreadable_row_after_a_restore_gets_no_work(registry):
+    registry.apply(returned(unreadable=(UnreadableEntry("a", 20, 2),)), RETURNED)
+    assert accepts_work(registry) == []
 
 
-def test_former_incarnation_in_the_copy_does_not_replace_the_present_one(book):
-    book.apply(changed(entry(1, 60, 1, started_ms=2000)), 90.0)
-    assert book.apply(returned(entry(2, 50, 9, started_ms=1000)), RETURNED) == []
-    assert [item.incarnation for item in book.all()] == ["a@2000"]
+def test_former_incarnation_in_the_copy_does_not_replace_the_present_one(registry):
+    registry.apply(changed(entry(1, 60, 1, started_ms=2000)), 90.0)
+    assert registry.apply(returned(entry(2, 50, 9, started_ms=1000)), RETURNED) == []
+    assert [item.incarnation for item in registry.all()] == ["a@2000"]
 
 
 @pytest.fixture
-def removed_book():
+def removed_registry():
     """Return a registry whose only upstream was removed before the store was restored."""
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry(1, 50, 5, started_ms=2000),)), 0.0)
-    book.apply(UpstreamChanges(False, removed=("a",)), RETURNED - 5)
-    return book
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry(1, 50, 5, started_ms=2000),)), 0.0)
+    registry.apply(UpstreamChanges(False, removed=("a",)), RETURNED - 5)
+    return registry
 
 
 @pytest.mark.parametrize(("sequence", "started_ms"), [(5, 2000), (4, 2000), (9, 1000)])
-def test_removed_upstream_gets_no_work_from_the_copy(removed_book, sequence, started_ms):
-    removed_book.apply(returned(entry(2, 40, sequence, started_ms=started_ms)), RETURNED)
-    assert accepts_work(removed_book) == []
-    assert list(removed_book.withheld) == ["a"]
-    removed_book.apply(changed(removed=("a",)), RETURNED + 3)
-    removed_book.settle(RETURNED + WITHHOLD_S)
-    assert accepts_work(removed_book) == []
+def test_removed_upstream_gets_no_work_from_the_copy(removed_registry, sequence, started_ms):
+    removed_registry.apply(returned(entry(2, 40, sequence, started_ms=started_ms)), RETURNED)
+    assert accepts_work(removed_registry) == []
+    assert list(removed_registry.withheld) == ["a"]
+    removed_registry.apply(changed(removed=("a",)), RETURNED + 3)
+    removed_registry.settle(RETURNED + WITHHOLD_S)
+    assert accepts_work(removed_registry) == []
 
 
 @pytest.mark.parametrize(("sequence", "started_ms"), [(6, 2000), (1, 3000)])
-def test_removed_upstream_that_writes_again_gets_work(removed_book, sequence, started_ms):
-    removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    removed_book.apply(changed(entry(2, 70, sequence, started_ms=started_ms)), RETURNED + 1)
-    assert accepts_work(removed_book) == ["a"]
-    assert list(removed_book.withheld) == []
+def test_removed_upstream_that_writes_again_gets_work(removed_registry, sequence, started_ms):
+    removed_registry.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
+    removed_registry.apply(changed(entry(2, 70, sequence, started_ms=started_ms)), RETURNED + 1)
+    assert accepts_work(removed_registry) == ["a"]
+    assert list(removed_registry.withheld) == []
 
 
-def test_removed_upstream_that_stays_listed_gets_work_after_a_while(removed_book):
+def test_removed_upstream_that_stays_listed_gets_work_after_a_while(removed_registry):
     """The upstream is alive and had no reason to write more than its entry in the copy holds."""
-    removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    removed_book.settle(RETURNED + WITHHOLD_S)
-    assert accepts_work(removed_book) == ["a"]
+    removed_registry.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
+    removed_registry.settle(RETURNED + WITHHOLD_S)
+    assert accepts_work(removed_registry) == ["a"]
 
 
-def test_removed_upstream_listed_in_the_same_era_gets_work_at_once(removed_book):
-    removed_book.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RETURNED)
-    assert accepts_work(removed_book) == ["a"], "in the same era a listed upstream is available"
+def test_removed_upstream_listed_in_the_same_era_gets_work_at_once(removed_registry):
+    removed_registry.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RETURNED)
+    assert accepts_work(removed_registry) == ["a"], "in the same era a listed upstream is available"
     late = RETURNED + 2 * REMOVED_RETENTION_S
-    removed_book.apply(UpstreamChanges(False, removed=("a",)), late)
-    assert len(removed_book) == 0
+    removed_registry.apply(UpstreamChanges(False, removed=("a",)), late)
+    assert len(removed_registry) == 0
 
 
-def test_upstream_that_the_copy_lacks_is_kept_until_it_has_had_time_to_write(book):
-    book.apply(returned(), RETURNED)
-    assert accepts_work(book) == ["a"] and list(book.missing) == ["a"]
-    book.settle(RETURNED + RELIST_WAIT_S)
-    assert accepts_work(book) == []
+def test_upstream_that_the_copy_lacks_is_kept_until_it_has_had_time_to_write(registry):
+    registry.apply(returned(), RETURNED)
+    assert accepts_work(registry) == ["a"] and list(registry.missing) == ["a"]
+    registry.settle(RETURNED + RELIST_WAIT_S)
+    assert accepts_work(registry) == []
 
 
-def test_withheld_upstream_is_released_once(removed_book):
-    removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    removed_book.settle(RETURNED + WITHHOLD_S)
-    removed_book.apply(changed(attrs.evolve(entry(2, 90, 6, started_ms=2000))), RETURNED + 11)
-    assert len(removed_book.of_service("s")) == 1
+def test_withheld_upstream_is_released_once(removed_registry):
+    removed_registry.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
+    removed_registry.settle(RETURNED + WITHHOLD_S)
+    removed_registry.apply(changed(attrs.evolve(entry(2, 90, 6, started_ms=2000))), RETURNED + 11)
+    assert len(removed_registry.of_service("s")) == 1
 
 
 def test_older_configuration_is_behind_until_the_newest_is_shown():
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_upstreams.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_upstreams.py
@@ -19,16 +19,16 @@
     return ListedUpstream(id_, "s", "10.0.0.1", 80, "a", 8, leaving, revision, started_ms)
 
 
-def listed(book):
-    return sorted(item.id for item in book.of_service("s"))
+def listed(registry):
+    return sorted(item.id for item in registry.of_service("s"))
 
 
 def test_unlisted_upstream_is_dropped_at_once_without_failures():
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
-    unlisted = book.of_service("s")[0]
-    book.apply(UpstreamChanges(False, removed=("a",)), 1.0)
-    assert listed(book) == ["b"]
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
+    unlisted = registry.of_service("s")[0]
+    registry.apply(UpstreamChanges(False, removed=("a",)), 1.0)
+    assert listed(registry) == ["b"]
     assert not unlisted.accepts_work()
 
 
@@ -37,21 +37,21 @@
 
     If the upstreams were dropped, every request to the service would be rejected for seconds.
     """
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
-    book.record_list_failure(5.0)
-    book.apply(UpstreamChanges(True), 5.5)
-    assert listed(book) == ["a", "b"]
-    book.apply(UpstreamChanges(False, (entry("a", 2),)), 6.5)
-    book.settle(7.3)
-    assert listed(book) == ["a"]
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
+    registry.record_list_failure(5.0)
+    registry.apply(UpstreamChanges(True), 5.5)
+    assert listed(registry) == ["a", "b"]
+    registry.apply(UpstreamChanges(False, (entry("a", 2),)), 6.5)
+    registry.settle(7.3)
+    assert listed(registry) == ["a"]
 
 
 def test_older_version_of_an_entry_is_ignored():
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a", 5, leaving=True),)), 0.0)
-    book.apply(UpstreamChanges(False, (entry("a", 4),)), 1.0)
-    assert not book.of_service("s")[0].accepts_work()
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a", 5, leaving=True),)), 0.0)
+    registry.apply(UpstreamChanges(False, (entry("a", 4),)), 1.0)
+    assert not registry.of_service("s")[0].accepts_work()
 
 
 def test_unreachable_upstream_is_suspended_longer_each_time_and_recovers(make_upstream):
@@ -121,15 +121,15 @@
     Its memory is empty and its requests are lost. With the old state, requests would be sent there
     for prompt parts that it held before, and the lost ones would count as running for ever.
     """
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a", 1, started_ms=100),)), 0.0)
-    former = book.of_service("s")[0]
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a", 1, started_ms=100),)), 0.0)
+    former = registry.of_service("s")[0]
     former.memory.record_read("part", 500)
     former.outstanding = 3
     ended = []
     former.add_run(lambda: ended.append("run"))
-    over = book.apply(UpstreamChanges(False, (entry("a", 2, started_ms=200),)), 1.0)
-    (present,) = book.of_service("s")
+    over = registry.apply(UpstreamChanges(False, (entry("a", 2, started_ms=200),)), 1.0)
+    (present,) = registry.of_service("s")
     assert over == ["a@100"] and ended == ["run"]
     assert not former.accepts_work() and former.ended
     assert present.accepts_work() and not present.memory.holds("part") and present.running(1.0) == 0
@@ -141,26 +141,26 @@
 
     The present upstream would be mistaken for the former one, which is down.
     """
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a", 5, started_ms=200),)), 0.0)
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a", 5, started_ms=200),)), 0.0)
     late = entry("a", revision, leaving=True, started_ms=100)
-    assert book.apply(UpstreamChanges(False, (late,)), 1.0) == []
-    (present,) = book.of_service("s")
+    assert registry.apply(UpstreamChanges(False, (late,)), 1.0) == []
+    (present,) = registry.of_service("s")
     assert present.accepts_work() and present.incarnation == "a@200"
 
 
 def test_entry_without_a_start_time_belongs_to_the_known_incarnation():
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a", 1, started_ms=100),)), 0.0)
-    (known,) = book.of_service("s")
-    book.apply(UpstreamChanges(False, (entry("a", 2),)), 1.0)
-    assert book.of_service("s") == [known] and known.incarnation == "a@100"
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a", 1, started_ms=100),)), 0.0)
+    (known,) = registry.of_service("s")
+    registry.apply(UpstreamChanges(False, (entry("a", 2),)), 1.0)
+    assert registry.of_service("s") == [known] and known.incarnation == "a@100"
 
 
 def test_first_start_time_of_an_entry_begins_a_new_incarnation():
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a", 1),)), 0.0)
-    assert book.apply(UpstreamChanges(False, (entry("a", 2, started_ms=100),)), 1.0) == ["a"]
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a", 1),)), 0.0)
+    assert registry.apply(UpstreamChanges(False, (entry("a", 2, started_ms=100),)), 1.0) == ["a"]
 
 
 def test_upstream_moves_to_the_service_that_its_entry_names():
@@ -168,12 +168,12 @@
 
     Requests of the former service would still be sent to it.
     """
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a"),)), 0.0)
-    book.apply(UpstreamChanges(False, (attrs.evolve(entry("a", 2), service="t"),)), 1.0)
-    assert listed(book) == [] and [item.id for item in book.of_service("t")] == ["a"]
-    book.apply(UpstreamChanges(False, removed=("a",)), 2.0)
-    assert book.of_service("t") == []
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a"),)), 0.0)
+    registry.apply(UpstreamChanges(False, (attrs.evolve(entry("a", 2), service="t"),)), 1.0)
+    assert listed(registry) == [] and [item.id for item in registry.of_service("t")] == ["a"]
+    registry.apply(UpstreamChanges(False, removed=("a",)), 2.0)
+    assert registry.of_service("t") == []
 
 
 def test_upstream_with_an_unreadable_entry_gets_no_work_until_it_is_readable():
@@ -181,21 +181,21 @@
 
     Requests would be sent to an address that may belong to something else by now.
     """
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
-    book.apply(UpstreamChanges(False, unreadable=(UnreadableEntry("a", 3),)), 1.0)
-    assert [item.id for item in book.of_service("s") if item.accepts_work()] == ["b"]
-    book.apply(UpstreamChanges(False, (entry("a", 2),)), 2.0)
-    assert [item.id for item in book.of_service("s") if item.accepts_work()] == ["b"]
-    book.apply(UpstreamChanges(False, (entry("a", 4),)), 3.0)
-    assert sorted(item.id for item in book.of_service("s") if item.accepts_work()) == ["a", "b"]
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
+    registry.apply(UpstreamChanges(False, unreadable=(UnreadableEntry("a", 3),)), 1.0)
+    assert [item.id for item in registry.of_service("s") if item.accepts_work()] == ["b"]
+    registry.apply(UpstreamChanges(False, (entry("a", 2),)), 2.0)
+    assert [item.id for item in registry.of_service("s") if item.accepts_work()] == ["b"]
+    registry.apply(UpstreamChanges(False, (entry("a", 4),)), 3.0)
+    assert sorted(item.id for item in registry.of_service("s") if item.accepts_work()) == ["a", "b"]
 
 
 def test_full_list_with_an_unreadable_entry_keeps_its_upstream():
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
-    book.apply(UpstreamChanges(True, (entry("b"),), unreadable=(UnreadableEntry("a", 3),)), 1.0)
-    assert listed(book) == ["a", "b"]
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a"), entry("b"))), 0.0)
+    registry.apply(UpstreamChanges(True, (entry("b"),), unreadable=(UnreadableEntry("a", 3),)), 1.0)
+    assert listed(registry) == ["a", "b"]
 
 
 def test_request_that_crashes_an_upstream_twice_under_one_id_is_refused():
@@ -215,13 +215,13 @@
 
     Cached parts would be considered evicted, and read again elsewhere.
     """
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry("a"),)), 0.0)
-    book.set_memory_capacities({"s": 500_000})
-    book.apply(UpstreamChanges(False, (entry("b"),)), 1.0)
-    for upstream in book.of_service("s"):
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry("a"),)), 0.0)
+    registry.set_memory_capacities({"s": 500_000})
+    registry.apply(UpstreamChanges(False, (entry("b"),)), 1.0)
+    for upstream in registry.of_service("s"):
         upstream.memory.record_read("old", 200_000)
         upstream.memory.record_read("new", 200_000)
         assert upstream.memory.holds("old")
-    book.set_memory_capacities({"s": 300_000})
-    assert not book.of_service("s")[0].memory.holds("old")
+    registry.set_memory_capacities({"s": 300_000})
+    assert not registry.of_service("s")[0].memory.holds("old")
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_faulty_relay.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_faulty_relay.py
@@ -16,9 +16,9 @@
 
 @asynccontextmanager
 async def connected():
-    async with RawServer(answer) as server, FaultyRelay(server.port) as gate:
-        reader, writer = await asyncio.open_connection("127.0.0.1", gate.port)
-        yield server, gate, reader, writer
+    async with RawServer(answer) as server, FaultyRelay(server.port) as relay:
+        reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
+        yield server, relay, reader, writer
         writer.close()
 
 
@@ -28,34 +28,36 @@
         assert await reader.readexactly(4) == b"here"
 
 
-@pytest.mark.parametrize(("state", "heard"), [(RelayState.PARTITIONED, 0), (RelayState.ONE_WAY, 1)])
-async def test_held_data_passes_after_the_partition(state, heard):
-    async with connected() as (server, gate, reader, writer):
-        await gate.set_state(state)
+@pytest.mark.parametrize(
+    ("state", "received_count"), [(RelayState.PARTITIONED, 0), (RelayState.ONE_WAY, 1)]
+)
+async def test_held_data_passes_after_the_partition(state, received_count):
+    async with connected() as (server, relay, reader, writer):
+        await relay.set_state(state)
         writer.write(REQUEST)
         answering = asyncio.create_task(reader.readexactly(4))
         await asyncio.sleep(0.1)
-        assert len(server.received) == heard
+        assert len(server.received) == received_count
         assert not answering.done()
-        await gate.set_state(RelayState.OPEN)
+        await relay.set_state(RelayState.OPEN)
         assert await answering == b"here"
 
 
 async def test_cut_resets_old_and_new_connections():
-    async with connected() as (_, gate, reader, _):
-        await gate.set_state(RelayState.CUT)
+    async with connected() as (_, relay, reader, _):
+        await relay.set_state(RelayState.CUT)
         with pytest.raises(ConnectionResetError):
             await reader.readexactly(1)
-        late, writer = await asyncio.open_connection("127.0.0.1", gate.port)
+        late, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await late.readexactly(1)
         writer.close()
 
 
 async def test_unavailable_server_leads_to_a_reset():
-    async with RawServer(answer) as server, FaultyRelay(server.port) as gate:
+    async with RawServer(answer) as server, FaultyRelay(server.port) as relay:
         await server.crash_server()
-        reader, writer = await asyncio.open_connection("127.0.0.1", gate.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
             await reader.readexactly(1)
         writer.close()
--- a/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_slot_link.py
@@ -70,7 +70,7 @@
         Identity of this entry.
     key : bytes
         Shared key of all processes.
-    book : MembershipTracker
+    membership : MembershipTracker
     sync : ConfigurationSync
     listener : LinkListener
     traffic : TrafficCounts
@@ -85,7 +85,7 @@
         target: VmEntry,
         identity: Identity,
         key: bytes,
-        book: MembershipTracker,
+        membership: MembershipTracker,
         sync: Any,
         listener: LinkListener,
         traffic: TrafficCounts,
@@ -96,7 +96,7 @@
         self.target = target
         self.identity = identity
         self.key = key
-        self.book = book
+        self.membership = membership
         self.sync = sync
         self.listener = listener
         self.traffic = traffic
@@ -184,7 +184,9 @@
         """Stay connected until cancelled; run as a task."""
         while True:
             await self._serve_once()
-            await asyncio.sleep(self.book.reconnect_delay(self.vm, self.rng, self.clock.now()))
+            await asyncio.sleep(
+                self.membership.reconnect_delay(self.vm, self.rng, self.clock.now())
+            )
 
     async def _serve_once(self) -> None:
         uri = f"ws://{self.target.host}:{self.target.port}"
@@ -194,7 +196,7 @@
             ) as websocket:
                 await self._serve(websocket)
         except (OSError, TimeoutError, WebSocketException) as error:
-            self.book.connect_failed(self.vm, self.clock.now())
+            self.membership.connect_failed(self.vm, self.clock.now())
             self._log_unreachable(error)
 
     def _log_unreachable(self, error: Exception) -> None:
@@ -232,15 +234,15 @@
         self.target = attrs.evolve(
             self.target, vm=peer.vm, failure_domain=peer.failure_domain, group=peer.group
         )
-        self.book.add_configured_slot(self.target, self.clock.now())
+        self.membership.add_configured_slot(self.target, self.clock.now())
 
     def _on_connected(self, connection: PeerConnection) -> None:
         self.connection = connection
         self._unreachable = False
         incarnation = connection.peer.incarnation
-        if incarnation != self.book.incarnation(self.vm) != "":
+        if incarnation != self.membership.incarnation(self.vm) != "":
             log_event(Event.PEER_INCARNATION_CHANGED, vm=self.vm, incarnation=incarnation)
-        self.book.connected(self.vm, incarnation, self.clock.now())
+        self.membership.connected(self.vm, incarnation, self.clock.now())
         log_event(Event.PEER_CONNECTED, vm=self.vm, incarnation=incarnation)
         connection.keep_alive(HEARTBEAT_S, RECEIVE_TIMEOUT_S, self.sync.heartbeat)
         self.sync.add_peer(connection)
@@ -248,7 +250,7 @@
 
     def _on_disconnected(self, connection: PeerConnection) -> None:
         self.sync.remove_peer(connection)
-        self.book.disconnected(self.vm, connection.peer.incarnation, self.clock.now())
+        self.membership.disconnected(self.vm, connection.peer.incarnation, self.clock.now())
         log_event(Event.PEER_DISCONNECTED, vm=self.vm, incarnation=connection.peer.incarnation)
         self.connection = None
         self.status = None
@@ -295,6 +297,8 @@
         self._outstanding_at_status = self.outstanding
         self.full_classes = set()
         if message.leaving:
-            self.book.record_leaving(self.vm, self.connection.peer.incarnation, self.clock.now())
+            self.membership.record_leaving(
+                self.vm, self.connection.peer.incarnation, self.clock.now()
+            )
         self.sync.fetch_if_behind(self.connection, message.revision)
         self.listener.link_status(self)
--- a/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
@@ -18,7 +18,7 @@
 
 
 class SuspicionExchange:
-    """Quarantine book of a process, kept in sync with its peers and the table.
+    """Suspicions against requests that a process has, kept in sync with its peers and the table.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
 
     Attributes
     ----------
-    book : QuarantineTracker
+    quarantine : QuarantineTracker
     """
 
     def __init__(
@@ -43,17 +43,17 @@
         self.clock = clock
         self.rng = rng
         self.find_peers = find_peers
-        self.book = QuarantineTracker(RETENTION_S)
+        self.quarantine = QuarantineTracker(RETENTION_S)
         self.store = SuspicionStore(table)
 
     def active(self) -> list[Suspicion]:
         """Return the suspicions in force."""
-        return self.book.suspicions(self.clock.wall())
+        return self.quarantine.suspicions(self.clock.wall())
 
     async def load(self) -> None:
         """Load the suspicions that the table holds from before the start of this process."""
         loaded = await load_with_retries(self.store, self.clock.wall, self.rng)
-        self.book.merge(loaded, self.clock.wall())
+        self.quarantine.merge(loaded, self.clock.wall())
 
     def send_all(self, peer: PeerConnection) -> None:
         """Send all suspicions in force to a newly connected peer."""
@@ -61,7 +61,7 @@
 
     def receive(self, peer: PeerConnection, message: Suspicions) -> None:
         """Merge the suspicions from a peer, and forward the new ones."""
-        added = self.book.merge(message.suspicions, self.clock.wall())
+        added = self.quarantine.merge(message.suspicions, self.clock.wall())
         self._broadcast(added, except_peer=peer)
 
     def record_crash(self, digests: Sequence[str]) -> list[Suspicion]:
@@ -77,7 +77,7 @@
         The peers must receive this before the failures of their attempts. They retry immediately
         on a failure, and would otherwise run a dangerous request beside others again.
         """
-        added = self.book.record_crash(digests, self.clock.wall())
+        added = self.quarantine.record_crash(digests, self.clock.wall())
         self._broadcast(added)
         return added
 
@@ -88,7 +88,7 @@
     def withdraw(self, records: Iterable[QuarantineWithdrawalRecord]) -> None:
         """Drop the suspicions against requests that operators have withdrawn."""
         for record in records:
-            self.book.withdraw(record.digest, self.clock.wall())
+            self.quarantine.withdraw(record.digest, self.clock.wall())
 
     def _broadcast(self, added: list[Suspicion], except_peer: PeerConnection | None = None) -> None:
         if not added:
--- a/packages/burdockquay-transport/src/burdockquay_transport/_upstream_health.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_upstream_health.py
@@ -98,14 +98,14 @@
         self.probe_interval_s = probe_interval_s
         self.on_change = on_change
         self.on_crash = on_crash
-        self._gate = ProbeCircuitBreaker()
+        self._breaker = ProbeCircuitBreaker()
         self._crashed_at = -CRASH_WINDOW_S
         self._checking: asyncio.Task | None = None
 
     @property
     def healthy(self) -> bool:
         """Whether the upstream accepts work."""
-        return self._gate.healthy
+        return self._breaker.healthy
 
     def record_broken_answer(self, running: Sequence[Work], now: float) -> None:
         """Record that an answer was interrupted while ``running`` was on the upstream.
@@ -133,11 +133,11 @@
     async def _check(self) -> None:
         if await self.client.probe():
             return
-        self._gate.failed(self.clock.now())
+        self._breaker.failed(self.clock.now())
         log_event(Event.UPSTREAM_UNHEALTHY)
         self.on_change()
-        while not self._gate.healthy:
+        while not self._breaker.healthy:
             await asyncio.sleep(self.probe_interval_s)
-            self._gate.probe_result(await self.client.probe(), self.clock.now())
+            self._breaker.probe_result(await self.client.probe(), self.clock.now())
         log_event(Event.UPSTREAM_HEALTHY)
         self.on_change()
--- a/packages/burdockquay-transport/src/burdockquay_transport/entry.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/entry.py
@@ -80,14 +80,14 @@
         self._connections_stable = False
         self._refusing = False
         self._vm_list_healthy = True
-        self._book = MembershipTracker(settings.vm)
+        self._membership = MembershipTracker(settings.vm)
         self.admission = AdmissionController()
         self.budget = RetryBudget(self.snapshot.policy.retry_ratio, RETRY_BURST)
         self.routes = RouteTable(self.snapshot)
         claims = ClaimStore(self._platform.table, self._platform.objects)
         self.runner = CallRunner(
             AtMostOnceResolver(claims),
-            self.suspicions.book,
+            self.suspicions.quarantine,
             self.budget,
             self.ledger,
             self.metrics,
@@ -102,7 +102,7 @@
         return (self._follow_vm_list(), self._run_ticks())
 
     def _count_processes(self) -> int:
-        return self._book.processes
+        return self._membership.processes
 
     def _connected_peers(self) -> list[PeerConnection]:
         return [link.connection for link in self._links.values() if link.connected]
@@ -152,7 +152,7 @@
                 self._clock,
                 self._rng,
                 self.admission,
-                lambda vm: self._book.usable(vm, self._clock.now()),
+                lambda vm: self._membership.usable(vm, self._clock.now()),
             )
         self._connect_targets()
 
@@ -179,7 +179,7 @@
         changed = entries != self._vm_list
         if changed:
             self._vm_list = entries
-            self._book.update_list(entries, self._clock.now())
+            self._membership.update_list(entries, self._clock.now())
         was_stable, self._connections_stable = (
             self._connections_stable,
             self._are_connections_stable(),
@@ -229,7 +229,7 @@
         now = self._clock.now()
         if self._holder.ready:
             groups = self.snapshot.groups.values()
-            return [target for group in groups for target in self._book.targets(group, now)]
+            return [target for group in groups for target in self._membership.targets(group, now)]
         # Without a configuration there are no groups. Any slot may provide the configuration,
         # which is needed while the table is unavailable.
         slots = [entry for entry in self._vm_list if entry.role == "slot"]
@@ -240,7 +240,7 @@
             target,
             self.identity,
             bytes.fromhex(self.settings.peer_key),
-            self._book,
+            self._membership,
             self._sync,
             self,
             self.traffic,
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_answers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_answers.py
@@ -47,7 +47,7 @@
                 self.state, call, upstream, "answer to another request", crashed=False
             )
         if facts.not_run and facts.answered_by not in (None, upstream.id):
-            self.state.book.drop(upstream)
+            self.state.upstream_registry.drop(upstream)
             return NotRun(upstream, "another incarnation answered")
         if response.status < 300 and not facts.sealed:
             return record_broken(
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
@@ -55,7 +55,7 @@
     Parameters
     ----------
     service : str
-    book : UpstreamRegistry
+    upstream_registry : UpstreamRegistry
     clock : Clock
     targets : callable
         Returns the current latency targets of the routes to the service.
@@ -67,14 +67,14 @@
     def __init__(
         self,
         service: str,
-        book: UpstreamRegistry,
+        upstream_registry: UpstreamRegistry,
         clock: Clock,
         targets: Callable[[], ServiceTargets],
         record_prediction_ratio: Callable[[float], None],
         switches: Switches,
     ):
         self.service = service
-        self.book = book
+        self.upstream_registry = upstream_registry
         self.clock = clock
         self.targets = targets
         self.record_prediction_ratio = record_prediction_ratio
@@ -184,7 +184,7 @@
 
     def _start_and_refuse_due(self, now: float) -> None:
         upstreams = self._upstreams()
-        self.model.processes = self.book.processes
+        self.model.processes = self.upstream_registry.processes
         if not upstreams:
             self._resolve_all(None)
         for start in self.queue.take_starts(upstreams, self.model, self.targets(), now):
@@ -209,7 +209,7 @@
         self.evaluate()
 
     def _upstreams(self) -> list[Upstream]:
-        return self.book.of_service(self.service)
+        return self.upstream_registry.of_service(self.service)
 
     def _describe_backlog(self, now: float) -> str:
         backlogs = [
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
@@ -111,17 +111,17 @@
         read = await source.next(UPSTREAMS_LONG_POLL_S)
         now = state.clock.now()
         if isinstance(read, Err):
-            state.book.record_list_failure(now)
+            state.upstream_registry.record_list_failure(now)
             await backoff.after_failure(read.err())
             continue
         backoff.record_success()
         changes = read.ok()
-        ended = state.book.apply(changes, now)
+        ended = state.upstream_registry.apply(changes, now)
         state.record_read("upstreams")
         for incarnation in ended:
             state.record_down(incarnation)
         if changes.after_restore:
-            _log_kept(state.book, changes)
+            _log_kept(state.upstream_registry, changes)
         if changes.listed or changes.removed or changes.unreadable:
             log_event(
                 Event.UPSTREAMS_CHANGED,
@@ -130,20 +130,22 @@
                 removed=",".join(changes.removed),
                 unreadable=",".join(entry.id for entry in changes.unreadable),
                 over=",".join(ended),
-                known=len(state.book),
+                known=len(state.upstream_registry),
             )
             await asyncio.sleep(BATCH_PAUSE_S)
 
 
-def _log_kept(book: UpstreamRegistry, changes: UpstreamChanges) -> None:
+def _log_kept(upstream_registry: UpstreamRegistry, changes: UpstreamChanges) -> None:
     """Log which known entries are kept although a store restored from a copy differs."""
     listed = {entry.id for entry in changes.listed if not entry.leaving}
-    leaving = [item.id for item in book.all() if item.entry.leaving and item.id in listed]
+    leaving = [
+        item.id for item in upstream_registry.all() if item.entry.leaving and item.id in listed
+    ]
     log_event(
         Event.UPSTREAMS_KEPT,
         leaving=",".join(leaving),
-        withheld=",".join(book.withheld),
-        missing=",".join(book.missing),
+        withheld=",".join(upstream_registry.withheld),
+        missing=",".join(upstream_registry.missing),
     )
 
 
@@ -151,4 +153,4 @@
     """Remove vanished upstreams once the list can be trusted again, until cancelled."""
     while True:
         await asyncio.sleep(SETTLE_INTERVAL_S)
-        state.book.settle(state.clock.now())
+        state.upstream_registry.settle(state.clock.now())
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_member_book.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_known_members.py
@@ -22,7 +22,7 @@
     until: float
 
 
-class MemberBook:
+class KnownMembers:
     """Members by VM.
 
     A store that was restored from a copy shows the members of some seconds ago. Members that it
@@ -31,13 +31,13 @@
 
     Examples
     --------
-    >>> book = MemberBook()
+    >>> members = KnownMembers()
     >>> first = Member("a", "a1", "10.0.0.1:7200")
-    >>> sorted(book.apply(MemberChanges(True, (first,)), now=0.0))
+    >>> sorted(members.apply(MemberChanges(True, (first,)), now=0.0))
     ['a']
-    >>> book.apply(MemberChanges(True, after_restore=True), now=5.0), len(book)
+    >>> members.apply(MemberChanges(True, after_restore=True), now=5.0), len(members)
     (set(), 1)
-    >>> book.apply(MemberChanges(False), now=9.5), len(book)
+    >>> members.apply(MemberChanges(False), now=9.5), len(members)
     ({'a'}, 0)
     """
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
@@ -182,7 +182,7 @@
         self._choose_targets(now)
         loads = [
             _make_load(upstream.incarnation, upstream.share(), upstream.take_unsent_parts())
-            for upstream in self.state.book.all()
+            for upstream in self.state.upstream_registry.all()
             if upstream.outstanding or upstream.unsent_parts
         ]
         self._recent_parts.extend((now, load) for load in loads if load.parts)
@@ -237,7 +237,7 @@
 
     def _requeue_recent_parts(self, now: float) -> None:
         for at, load in self._recent_parts:
-            upstream = self.state.book.find(load.upstream)
+            upstream = self.state.upstream_registry.find(load.upstream)
             if upstream is not None and now - at <= RECENT_PARTS_S:
                 upstream.unsent_parts |= {part.id: part.tokens for part in load.parts}
 
@@ -261,7 +261,7 @@
         That happens while the relay changes. Each part is sent only once, so that otherwise no
         process of the failure domain would receive it.
         """
-        upstream = self.state.book.find(incarnation)
+        upstream = self.state.upstream_registry.find(incarnation)
         if upstream is not None and not self.is_relay and source != self.identity.incarnation:
             upstream.unsent_parts |= parts
             for part, tokens in parts.items():
@@ -294,7 +294,7 @@
         """
         is_new = now - self._started_at < NEW_PEER_S
         most = MAX_INITIAL_PARTS_FROM_NEW if is_new else MAX_INITIAL_PARTS
-        upstreams = self.state.book.all()
+        upstreams = self.state.upstream_registry.all()
         for upstream in upstreams:
             parts = upstream.memory.newest(math.ceil(most / len(upstreams)))
             if parts:
@@ -313,33 +313,33 @@
         """Apply the loads of one source."""
         now = self.state.clock.now()
         self._received_at = now
-        book = self.state.book
+        upstream_registry = self.state.upstream_registry
         if self.state.switches.uses(Mechanism.SHARED_LOADS):
             listed = {load.upstream for load in loads}
             known = self._upstreams_by_source.get(source, set())
             for incarnation in known - listed if is_whole else ():
-                _apply_share(book, incarnation, source, NO_LOAD, now)
+                _apply_share(upstream_registry, incarnation, source, NO_LOAD, now)
             for load in loads:
-                _apply_share(book, load.upstream, source, _load_share(load), now)
+                _apply_share(upstream_registry, load.upstream, source, _load_share(load), now)
             self._upstreams_by_source[source] = listed if is_whole else known | listed
         if self.state.switches.uses(Mechanism.SHARED_PARTS):
-            _record_parts(book, loads)
+            _record_parts(upstream_registry, loads)
         self.state.evaluate_waiting()
 
 
 def _apply_share(
-    book: UpstreamRegistry, incarnation: str, source: str, share: LoadShare, now: float
+    upstream_registry: UpstreamRegistry, incarnation: str, source: str, share: LoadShare, now: float
 ) -> None:
     # Processes receive the restart of an upstream at different times. Loads of another incarnation
     # than the one known here do not belong to it.
-    upstream = book.find(incarnation)
+    upstream = upstream_registry.find(incarnation)
     if upstream is not None:
         upstream.pending.receive_update(source, share, now)
 
 
-def _record_parts(book: UpstreamRegistry, loads: Iterable[UpstreamLoad]) -> None:
+def _record_parts(upstream_registry: UpstreamRegistry, loads: Iterable[UpstreamLoad]) -> None:
     for load in loads:
-        upstream = book.find(load.upstream) if load.parts else None
+        upstream = upstream_registry.find(load.upstream) if load.parts else None
         for part in load.parts if upstream is not None else ():
             upstream.memory.record_read(part.id, part.tokens)
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_outcome_sharing.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_outcome_sharing.py
@@ -64,14 +64,14 @@
             return
         now = self.state.clock.now()
         for incarnation, outcomes in received.items():
-            upstream = self.state.book.find(incarnation)
+            upstream = self.state.upstream_registry.find(incarnation)
             if upstream is not None:
                 _apply_outcomes(upstream, outcomes, now)
 
     def _send_own(self, relay: PeerConnection | None, is_due: bool) -> None:
         new = {
             upstream.incarnation: outcomes
-            for upstream in self.state.book.all()
+            for upstream in self.state.upstream_registry.all()
             if (outcomes := upstream.health.take_unsent_outcomes()) is not None
         }
         self._ledger.receive_update(self.identity.incarnation, new, is_near=True)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
@@ -42,8 +42,8 @@
     initiate_handshake,
 )
 from .._peer_server import PeerServer
+from ._known_members import KnownMembers
 from ._load_sharing import ChangeRepeater, LoadSharing
-from ._member_book import MemberBook
 from ._outcome_sharing import OutcomeSharing
 from ._platform import Member, MemberChanges, MemberRegistry
 from ._state import ForwarderState
@@ -105,7 +105,7 @@
         self.traffic = TrafficCounts()
         self._registry: MemberRegistry = state.platform.members()
         self._links: dict[str, asyncio.Task] = {}
-        self._members = MemberBook()
+        self._members = KnownMembers()
         self._peer_connections: dict[str, PeerConnection] = {}
         self._bound: socket.socket | None = None
         self._server: PeerServer | None = None
@@ -268,7 +268,7 @@
 
     def _apply_members(self, changes: MemberChanges) -> None:
         changed = self._members.apply(changes, self.state.clock.now())
-        self.state.book.processes = len(self._members)
+        self.state.upstream_registry.processes = len(self._members)
         for vm in changed:
             self._update_link(vm)
 
@@ -363,7 +363,7 @@
 
     async def _keep_sending(self) -> None:
         while True:
-            is_busy = self.state.book.in_use() or self._loads.is_relay
+            is_busy = self.state.upstream_registry.in_use() or self._loads.is_relay
             shortest_s = LOADS_INTERVAL_S if is_busy else IDLE_LOADS_INTERVAL_S
             await asyncio.sleep(max(shortest_s, self._loads.follower_count / MAX_MESSAGES_PER_S))
             self._loads.send_loads()
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_relay.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_relay.py
@@ -117,7 +117,7 @@
     def _choose(self, call: ForwardCall) -> Upstream | None:
         state = self.state
         return choose_upstream(
-            state.book.of_service(call.service),
+            state.upstream_registry.of_service(call.service),
             state.settings.failure_domain,
             call.tried,
             state.clock.now(),
@@ -178,7 +178,7 @@
         now = state.clock.now()
         if state.suspects.is_refused(call.digest, now):
             return False
-        candidates = state.book.of_service(call.service)
+        candidates = state.upstream_registry.of_service(call.service)
         if not usable_upstreams(candidates, call.tried, now, state.switches):
             return False
         if state.budget(call.service).try_retry(now):
@@ -274,7 +274,7 @@
         if not call.wants_backup or call.sent is None:
             return
         now = state.clock.now()
-        others = state.book.of_service(call.service)
+        others = state.upstream_registry.of_service(call.service)
         answer_s = call.sent.placement.answer_s
         if state.losses(call.service).is_copy_worthwhile(answer_s, len(others), now):
             call.backup = choose_backup(others, upstream, now, state.rng)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
@@ -69,7 +69,7 @@
         self.directory: ConfigDirectory | None = None
         self.lease = FreshnessLease(settings.withdrawal_ms / 1000 * LEASE_SHARE)
         self.standing = ConfigVersionTracker()
-        self.book = UpstreamRegistry(rng)
+        self.upstream_registry = UpstreamRegistry(rng)
         self.suspects = CrashSuspects()
         self.others = PeerAvailability()
         self.connections = UpstreamConnections()
@@ -111,7 +111,9 @@
             return False
         self.directory = ConfigDirectory(config)
         self.standing.record_held_version(config.version, self.clock.now())
-        self.book.set_memory_capacities({item.service: item.tokens for item in config.memories})
+        self.upstream_registry.set_memory_capacities(
+            {item.service: item.tokens for item in config.memories}
+        )
         return True
 
     def confirm_configuration(self, as_of: float) -> None:
@@ -129,7 +131,7 @@
         if found is None:
             found = PromptDispatcher(
                 service,
-                self.book,
+                self.upstream_registry,
                 self.clock,
                 lambda: self.directory.targets(service),
                 self.metrics.prediction.labels(service).observe,
@@ -173,7 +175,9 @@
         if found is None:
             found = RetryWindow(settings.retry_ratio, 0.0, settings.retry_window_s)
             self._budgets[service] = found
-        found.burst = settings.retry_burst / max(MIN_ASSUMED_PROCESSES, self.book.processes)
+        found.burst = settings.retry_burst / max(
+            MIN_ASSUMED_PROCESSES, self.upstream_registry.processes
+        )
         return found
 
     def keys_trusted(self, now: float) -> bool:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/forwarder.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/forwarder.py
@@ -158,8 +158,8 @@
             "held": self._ingress.held,
             "revision": state.directory.config.version if state.directory else None,
             "configuration_age_s": state.lease.age(now),
-            "upstreams": len(state.book),
-            "leaving_upstreams": sum(item.entry.leaving for item in state.book.all()),
+            "upstreams": len(state.upstream_registry),
+            "leaving_upstreams": sum(item.entry.leaving for item in state.upstream_registry.all()),
             "peers": self._mesh.connected if self._mesh else 0,
         }
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_dispatch.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_dispatch.py
@@ -30,16 +30,16 @@
 
 
 @pytest.fixture
-def book():
-    book = UpstreamRegistry()
+def upstream_registry():
+    upstream_registry = UpstreamRegistry()
     entry = ListedUpstream("u", "s", "127.0.0.1", 1, "a", 8, False, 1)
-    book.apply(UpstreamChanges(True, (entry,)), 0.0)
-    return book
+    upstream_registry.apply(UpstreamChanges(True, (entry,)), 0.0)
+    return upstream_registry
 
 
 @pytest.fixture
-def upstream(book):
-    return book.of_service("s")[0]
+def upstream(upstream_registry):
+    return upstream_registry.of_service("s")[0]
 
 
 class ShiftedClock(SystemClock):
@@ -58,10 +58,10 @@
 
 
 @pytest.fixture
-def dispatcher(book):
+def dispatcher(upstream_registry):
     targets = ServiceTargets(0.25, 0)
     return PromptDispatcher(
-        "s", book, ShiftedClock(), lambda: targets, lambda ratio: None, Switches()
+        "s", upstream_registry, ShiftedClock(), lambda: targets, lambda ratio: None, Switches()
     )
 
 
@@ -103,8 +103,8 @@
     assert "to read" in refused.value.error.detail
 
 
-async def test_service_without_upstreams_returns_none_at_once(dispatcher, book):
-    book.apply(UpstreamChanges(True), 1.0)
+async def test_service_without_upstreams_returns_none_at_once(dispatcher, upstream_registry):
+    upstream_registry.apply(UpstreamChanges(True), 1.0)
     assert await dispatcher.start(make_call()) is None
 
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_member_book.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_member_book.py
@@ -3,7 +3,7 @@
 import pytest
 
 from burdockquay_transport.forwarding import Member, MemberChanges
-from burdockquay_transport.forwarding._member_book import REJOIN_WAIT_S, MemberBook
+from burdockquay_transport.forwarding._known_members import REJOIN_WAIT_S, KnownMembers
 
 RESTORED_AT = 100.0
 
@@ -21,47 +21,47 @@
 
 
 @pytest.fixture
-def book():
-    """Book with two members."""
-    book = MemberBook()
-    book.apply(MemberChanges(True, (member("a"), member("b"))), 0.0)
-    return book
+def members():
+    """Return two known members."""
+    members = KnownMembers()
+    members.apply(MemberChanges(True, (member("a"), member("b"))), 0.0)
+    return members
 
 
-def test_member_that_the_copy_lacks_is_kept_while_it_may_register_again(book):
-    assert book.apply(restored(member("a", era=2)), RESTORED_AT) == set()
-    assert book.apply(changed(member("b", revision=9, era=2)), RESTORED_AT + 1) == set()
-    assert book.apply(changed(), RESTORED_AT + REJOIN_WAIT_S) == set()
-    assert (book.get("a").era, book.get("b").era) == (2, 2), "their rows can be removed later"
+def test_member_that_the_copy_lacks_is_kept_while_it_may_register_again(members):
+    assert members.apply(restored(member("a", era=2)), RESTORED_AT) == set()
+    assert members.apply(changed(member("b", revision=9, era=2)), RESTORED_AT + 1) == set()
+    assert members.apply(changed(), RESTORED_AT + REJOIN_WAIT_S) == set()
+    assert (members.get("a").era, members.get("b").era) == (2, 2), "their rows can be removed later"
 
 
-def test_former_process_in_the_copy_does_not_replace_its_successor(book):
+def test_former_process_in_the_copy_does_not_replace_its_successor(members):
     copy = (member("a", era=2), member("b", "0", era=2))
-    assert book.apply(restored(*copy), RESTORED_AT) == set()
-    assert book.get("b").incarnation == "b1"
+    assert members.apply(restored(*copy), RESTORED_AT) == set()
+    assert members.get("b").incarnation == "b1"
 
 
-def test_copy_applies_to_a_member_that_does_not_register_again(book):
-    book.apply(restored(member("b", "0", era=2)), RESTORED_AT)
-    assert book.apply(changed(), RESTORED_AT + REJOIN_WAIT_S) == {"a", "b"}
-    assert book.get("a") is None
-    assert book.get("b").incarnation == "b0"
+def test_copy_applies_to_a_member_that_does_not_register_again(members):
+    members.apply(restored(member("b", "0", era=2)), RESTORED_AT)
+    assert members.apply(changed(), RESTORED_AT + REJOIN_WAIT_S) == {"a", "b"}
+    assert members.get("a") is None
+    assert members.get("b").incarnation == "b0"
 
 
-def test_successor_that_registers_after_the_restore_replaces_the_member(book):
-    book.apply(restored(member("a", era=2)), RESTORED_AT)
-    assert book.apply(changed(member("b", "2", 9, 2)), RESTORED_AT + 1) == {"b"}
-    assert book.get("b").incarnation == "b2"
+def test_successor_that_registers_after_the_restore_replaces_the_member(members):
+    members.apply(restored(member("a", era=2)), RESTORED_AT)
+    assert members.apply(changed(member("b", "2", 9, 2)), RESTORED_AT + 1) == {"b"}
+    assert members.get("b").incarnation == "b2"
 
 
-def test_member_that_leaves_after_the_restore_is_removed_at_once(book):
-    book.apply(restored(member("a", era=2), member("b", era=2)), RESTORED_AT)
-    assert book.apply(changed(removed=("b",)), RESTORED_AT + 1) == {"b"}
+def test_member_that_leaves_after_the_restore_is_removed_at_once(members):
+    members.apply(restored(member("a", era=2), member("b", era=2)), RESTORED_AT)
+    assert members.apply(changed(removed=("b",)), RESTORED_AT + 1) == {"b"}
 
 
-def test_complete_reading_after_the_first_one_does_not_end_the_wait(book):
+def test_complete_reading_after_the_first_one_does_not_end_the_wait(members):
     """The store answers 410 again, and each process reads all members once more."""
-    book.apply(restored(member("a", era=2)), RESTORED_AT)
+    members.apply(restored(member("a", era=2)), RESTORED_AT)
     again = MemberChanges(True, (member("a", era=2),))
-    assert book.apply(again, RESTORED_AT + 1) == set()
-    assert book.apply(again, RESTORED_AT + REJOIN_WAIT_S) == {"b"}
+    assert members.apply(again, RESTORED_AT + 1) == set()
+    assert members.apply(again, RESTORED_AT + REJOIN_WAIT_S) == {"b"}
