--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_prompts.py
@@ -121,7 +121,7 @@
         """Return how many tokens of a prompt are not in memory yet and cannot be fetched.
 
         Parts with a pending read count as missing here. At the start of a process and in a burst,
-        many requests with the same part arrive before it is read; an upstream that was told to
+        many requests with the same part arrive before it is read; an upstream that is instructed to
         fetch it would find nothing and read it again.
         """
         for position, (part, _) in enumerate(prompt.parts):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_retry_after.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_retry_after.py
@@ -26,8 +26,8 @@
     """Status of the other processes: whether they can serve callers with API keys.
 
     A process that cannot reach the platform rejects such callers. If others reach it, the next
-    process that a caller connects to serves it at once; if the caller was told to wait as in an
-    outage of the platform, it would get its answer two seconds late.
+    process that a caller connects to serves it at once; if it got the delay of an outage of
+    the platform, it would get its answer two seconds late.
     """
 
     def __init__(self):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
@@ -96,7 +96,7 @@
 def test_part_is_not_fetched_from_an_upstream_that_has_not_read_it_yet(upstreams, model):
     """A burst of requests with one shared part arrives before the part is read.
 
-    An upstream that was told to fetch the part found nothing to fetch and read all of it again: the
+    An upstream that was instructed to fetch the part found nothing and read all of it again: the
     engines read the same tokens two to four times, which delayed all requests.
     """
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
@@ -16,7 +16,7 @@
     WITHHOLD_S,
 )
 
-RETURNED = 100.0
+RESTORED_AT = 100.0
 
 
 def entry(era, revision, sequence, leaving=False, started_ms=None):
@@ -25,12 +25,12 @@
     )
 
 
-def returned(*listed, unreadable=()):
-    return UpstreamChanges(True, listed, (), unreadable, RETURNED, True)
+def restored(*listed, unreadable=()):
+    return UpstreamChanges(True, listed, (), unreadable, RESTORED_AT, True)
 
 
 def changed(*listed, removed=()):
-    return UpstreamChanges(False, listed, removed, last_failure_at=RETURNED)
+    return UpstreamChanges(False, listed, removed, last_failure_at=RESTORED_AT)
 
 
 def accepts_work(registry):
@@ -47,34 +47,34 @@
 
 def test_entry_with_a_lower_revision_is_applied_after_a_restore(registry):
     """An upstream starts draining; its revisions began again below the one that is known."""
-    registry.apply(returned(entry(2, 20, 4)), RETURNED)
-    registry.apply(changed(entry(2, 30, 6, leaving=True)), RETURNED)
+    registry.apply(restored(entry(2, 20, 4)), RESTORED_AT)
+    registry.apply(changed(entry(2, 30, 6, leaving=True)), RESTORED_AT)
     assert accepts_work(registry) == []
 
 
 @pytest.mark.parametrize("sequence", [4, 6])
 def test_old_entry_of_the_copy_does_not_undo_draining(registry, sequence):
     registry.apply(changed(entry(1, 60, 6, leaving=True)), 90.0)
-    registry.apply(returned(entry(2, 50, sequence)), RETURNED)
+    registry.apply(restored(entry(2, 50, sequence)), RESTORED_AT)
     assert accepts_work(registry) == []
-    registry.apply(changed(entry(2, 70, 8)), RETURNED + 1)
+    registry.apply(changed(entry(2, 70, 8)), RESTORED_AT + 1)
     assert accepts_work(registry) == ["a"], "its newer entry counts"
 
 
 def test_late_entry_of_the_former_era_is_ignored(registry):
-    registry.apply(returned(entry(2, 20, 7, leaving=True)), RETURNED)
-    registry.apply(changed(entry(1, 90, 8)), RETURNED)
+    registry.apply(restored(entry(2, 20, 7, leaving=True)), RESTORED_AT)
+    registry.apply(changed(entry(1, 90, 8)), RESTORED_AT)
     assert accepts_work(registry) == []
 
 
 def test_upstream_with_an_unreadable_row_after_a_restore_gets_no_work(registry):
-    registry.apply(returned(unreadable=(UnreadableEntry("a", 20, 2),)), RETURNED)
+    registry.apply(restored(unreadable=(UnreadableEntry("a", 20, 2),)), RESTORED_AT)
     assert accepts_work(registry) == []
 
 
 def test_former_incarnation_in_the_copy_does_not_replace_the_present_one(registry):
     registry.apply(changed(entry(1, 60, 1, started_ms=2000)), 90.0)
-    assert registry.apply(returned(entry(2, 50, 9, started_ms=1000)), RETURNED) == []
+    assert registry.apply(restored(entry(2, 50, 9, started_ms=1000)), RESTORED_AT) == []
     assert [item.incarnation for item in registry.all()] == ["a@2000"]
 
 
@@ -83,54 +83,56 @@
     """Return a registry whose only upstream was removed before the store was restored."""
     registry = UpstreamRegistry()
     registry.apply(UpstreamChanges(True, (entry(1, 50, 5, started_ms=2000),)), 0.0)
-    registry.apply(UpstreamChanges(False, removed=("a",)), RETURNED - 5)
+    registry.apply(UpstreamChanges(False, removed=("a",)), RESTORED_AT - 5)
     return registry
 
 
 @pytest.mark.parametrize(("sequence", "started_ms"), [(5, 2000), (4, 2000), (9, 1000)])
 def test_removed_upstream_gets_no_work_from_the_copy(removed_registry, sequence, started_ms):
-    removed_registry.apply(returned(entry(2, 40, sequence, started_ms=started_ms)), RETURNED)
+    removed_registry.apply(restored(entry(2, 40, sequence, started_ms=started_ms)), RESTORED_AT)
     assert accepts_work(removed_registry) == []
     assert list(removed_registry.withheld) == ["a"]
-    removed_registry.apply(changed(removed=("a",)), RETURNED + 3)
-    removed_registry.settle(RETURNED + WITHHOLD_S)
+    removed_registry.apply(changed(removed=("a",)), RESTORED_AT + 3)
+    removed_registry.settle(RESTORED_AT + WITHHOLD_S)
     assert accepts_work(removed_registry) == []
 
 
 @pytest.mark.parametrize(("sequence", "started_ms"), [(6, 2000), (1, 3000)])
 def test_removed_upstream_that_writes_again_gets_work(removed_registry, sequence, started_ms):
-    removed_registry.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    removed_registry.apply(changed(entry(2, 70, sequence, started_ms=started_ms)), RETURNED + 1)
+    removed_registry.apply(restored(entry(2, 40, 5, started_ms=2000)), RESTORED_AT)
+    removed_registry.apply(changed(entry(2, 70, sequence, started_ms=started_ms)), RESTORED_AT + 1)
     assert accepts_work(removed_registry) == ["a"]
     assert list(removed_registry.withheld) == []
 
 
 def test_removed_upstream_that_stays_listed_gets_work_after_a_while(removed_registry):
     """The upstream is alive and had no reason to write more than its entry in the copy holds."""
-    removed_registry.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    removed_registry.settle(RETURNED + WITHHOLD_S)
+    removed_registry.apply(restored(entry(2, 40, 5, started_ms=2000)), RESTORED_AT)
+    removed_registry.settle(RESTORED_AT + WITHHOLD_S)
     assert accepts_work(removed_registry) == ["a"]
 
 
 def test_removed_upstream_listed_in_the_same_era_gets_work_at_once(removed_registry):
-    removed_registry.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RETURNED)
+    removed_registry.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RESTORED_AT)
     assert accepts_work(removed_registry) == ["a"], "in the same era a listed upstream is available"
-    late = RETURNED + 2 * REMOVED_RETENTION_S
+    late = RESTORED_AT + 2 * REMOVED_RETENTION_S
     removed_registry.apply(UpstreamChanges(False, removed=("a",)), late)
     assert len(removed_registry) == 0
 
 
 def test_upstream_that_the_copy_lacks_is_kept_until_it_has_had_time_to_write(registry):
-    registry.apply(returned(), RETURNED)
+    registry.apply(restored(), RESTORED_AT)
     assert accepts_work(registry) == ["a"] and list(registry.missing) == ["a"]
-    registry.settle(RETURNED + RELIST_WAIT_S)
+    registry.settle(RESTORED_AT + RELIST_WAIT_S)
     assert accepts_work(registry) == []
 
 
 def test_withheld_upstream_is_released_once(removed_registry):
-    removed_registry.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    removed_registry.settle(RETURNED + WITHHOLD_S)
-    removed_registry.apply(changed(attrs.evolve(entry(2, 90, 6, started_ms=2000))), RETURNED + 11)
+    removed_registry.apply(restored(entry(2, 40, 5, started_ms=2000)), RESTORED_AT)
+    removed_registry.settle(RESTORED_AT + WITHHOLD_S)
+    removed_registry.apply(
+        changed(attrs.evolve(entry(2, 90, 6, started_ms=2000))), RESTORED_AT + 11
+    )
     assert len(removed_registry.of_service("s")) == 1
 
 
@@ -159,16 +161,16 @@
     assert not standing.is_outdated(19.0)
 
 
-@pytest.mark.parametrize("told_at", [0.5, 2.0])
-def test_process_that_starts_with_an_old_configuration_gets_no_such_time(told_at):
+@pytest.mark.parametrize("received_at", [0.5, 2.0])
+def test_process_that_starts_with_an_old_configuration_gets_no_such_time(received_at):
     """The store shows an older configuration than is in force; the message arrives before or after.
 
     For a second the process would honour keys that were withdrawn long before it started.
     """
     standing = ConfigVersionTracker()
     standing.record_shown_version(7, 1.0)
-    if told_at < 1.0:
-        standing.record_version_in_force(8, told_at)
+    if received_at < 1.0:
+        standing.record_version_in_force(8, received_at)
     standing.record_held_version(7, 1.0)
     standing.record_version_in_force(8, 2.0)
     assert standing.is_outdated(2.0)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
@@ -419,7 +419,7 @@
         self.copy = self.table.copy()
         self.copied_at = self.now
 
-    def return_to_copy(self) -> None:
+    def restore_copy(self) -> None:
         """Restore the table from the copy, and record which claims it has lost."""
         before = self.table._rows
         self.table.restore_copy(self.copy)
@@ -439,7 +439,7 @@
         """Update the era that an entry knows, like its periodic reads of the configuration."""
         self.entries[entry].claims.table.known_era = self.table.era
 
-    def look_up_era(self, slot: int) -> None:
+    def refresh_era(self, slot: int) -> None:
         """Start a slot's read of the era of the table."""
         self.spawn(self.slots[slot].eras.refresh_era())
         self.run_until_blocked()
@@ -450,7 +450,7 @@
         for _ in range(RESTORE_ATTEMPTS):
             if self._has_restored(process):
                 break
-            self.look_up_era(slot)
+            self.refresh_era(slot)
             while gates := self._table_gates(process):
                 self.open(self.gates.index(gates[0]), 0)
         if not self._has_restored(process):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
@@ -23,7 +23,7 @@
     call = cluster.call(0, "k0", "d0", [0])
     while not cluster.oracle.effects[call.name]:
         cluster.open_first(None)
-    cluster.return_to_copy()
+    cluster.restore_copy()
     return call
 
 
@@ -53,7 +53,7 @@
     first = run_until_sent(cluster)
     cluster.restore_in_time(0)
     cluster.pass_time(CLAIM_HOLD_S)
-    cluster.look_up_era(0)
+    cluster.refresh_era(0)
     cluster.heal()
     cluster.pass_time(ERA_POLL_INTERVAL_S)
     again = repeat(cluster, slot=1, paused=None)
@@ -69,7 +69,7 @@
     cluster.take_copy()
     cluster.heal()
     assert call.reported == "answer"
-    cluster.return_to_copy()
+    cluster.restore_copy()
     cluster.restore_in_time(0)
     assert cluster._read("k0").state is ClaimState.DONE
 
@@ -104,7 +104,7 @@
         cluster.lose_peer(0)
         cluster.open_first(("slot", 0))
     assert call.reported == "not_run"
-    cluster.return_to_copy()
+    cluster.restore_copy()
     cluster.heal()
     assert cluster.oracle.effects.total() == 0
 
@@ -117,7 +117,7 @@
     gate = next(gate for gate in cluster.gates if gate.kind == "send")
     cluster.open(cluster.gates.index(gate), 2)
     cluster.heal()
-    cluster.return_to_copy()
+    cluster.restore_copy()
     assert cluster._read("k0").state is ClaimState.RUNNING
     cluster.restore_in_time(0)
     assert cluster._read("k0").state is ClaimState.CANCELLED
@@ -128,7 +128,7 @@
     cluster.call(0, "k0", "d0", [0])
     execute_steps(cluster, None, 2)
     cluster.open(0, 6)
-    cluster.return_to_copy()
+    cluster.restore_copy()
     cluster.slots[0].claims.table.known_era = cluster.table.era
     cluster.slots[0].claims.recent_claims.mark_present(cluster.table.era)
     cluster.heal()
@@ -138,12 +138,12 @@
 
 def test_slot_that_starts_later_claims_without_a_delay(cluster):
     """A slot that starts long after the begin of an era must not reject its first requests."""
-    cluster.return_to_copy()
+    cluster.restore_copy()
     for slot in (0, 1):
         cluster.restore_in_time(slot)
     cluster.pass_time(CLAIM_HOLD_S)
     cluster.restore_in_time(0)
-    cluster.look_up_era(0)
+    cluster.refresh_era(0)
     cluster.heal()
     cluster.crash("slot", 1)
     again = repeat(cluster, slot=1, paused=None)
@@ -152,16 +152,16 @@
 
 def test_open_era_row_of_a_copy_opens_no_later_era(cluster):
     """The copy contains the row that permits claims in the earlier era."""
-    cluster.return_to_copy()
+    cluster.restore_copy()
     cluster.restore_in_time(1)
-    cluster.look_up_era(1)
+    cluster.refresh_era(1)
     execute_steps(cluster, None)
     assert not cluster.slots[1].eras.is_open
 
 
 def test_requests_of_an_unknown_era_share_one_read(cluster):
     """The table is slow after its restore, and each attempt would wait for its own read."""
-    cluster.return_to_copy()
+    cluster.restore_copy()
     cluster.poll(0)
     for key in ("k0", "k1", "k2"):
         cluster.call(0, key, "d0", [1])
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era_machine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era_machine.py
@@ -36,11 +36,11 @@
 
     @rule()
     def return_to_copy(self):
-        self.cluster.return_to_copy()
+        self.cluster.restore_copy()
 
     @rule(slot=TWO)
     def look_up_era(self, slot):
-        self.cluster.look_up_era(slot)
+        self.cluster.refresh_era(slot)
 
     @rule(slot=TWO)
     def restore_in_time(self, slot):
@@ -49,12 +49,12 @@
     @rule(slots=st.sampled_from([[0, 1], [0, 1], [0], [1], []]))
     def return_and_reopen(self, slots):
         """The slots that reach the table restore their claims; then the hold time passes."""
-        self.cluster.return_to_copy()
+        self.cluster.restore_copy()
         for slot in slots:
             self.cluster.restore_in_time(slot)
         self.cluster.pass_time(CLAIM_HOLD_S)
         for slot in slots:
-            self.cluster.look_up_era(slot)
+            self.cluster.refresh_era(slot)
 
     @rule(entry=TWO)
     def poll(self, entry):
@@ -68,7 +68,7 @@
         self.cluster.call(0, key, "d0", [slot])
         for _ in range(steps):
             self.cluster.open_first(("slot", 1 - slot))
-        self.cluster.return_to_copy()
+        self.cluster.restore_copy()
 
     @precondition(lambda self: self.cluster.lost_claims)
     @rule(slot=TWO, entry=TWO, gives_up=st.booleans())
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_machine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_machine.py
@@ -152,8 +152,8 @@
 
 def test_row_written_late_by_a_paused_entry_still_prevents_an_attempt():
     """An entry is paused for a day just before it cancels, so that its row has an old time and
-    expires immediately. The caller would be told that the key was reused and nothing ran, and the
-    request would run when a paused slot resumes after the row has expired.
+    expires immediately. The caller would get the answer that the key was reused and nothing ran,
+    and the request would run when a paused slot resumes after the row has expired.
     """
     cluster = SimulatedCluster()
     cluster.call(0, "k0", "d1", [0])
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_orders.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_orders.py
@@ -165,7 +165,7 @@
 
 
 @pytest.fixture
-def returning():
+def shared():
     """Return a shared table with an era in which claims may be made."""
     shared = Shared()
     shared.table = MemoryTable(era=1)
@@ -173,32 +173,32 @@
     return shared
 
 
-async def test_order_whose_claim_was_lost_is_not_sent_again(returning):
+async def test_order_whose_claim_was_lost_is_not_sent_again(shared):
     """The table loses the claim of an order, and another slot reads the record."""
     engine = Engine(checks_fencing=True)
-    slots = [returning.slot(f"slot-{number}", engine) for number in range(2)]
-    copy = returning.table.copy()
-    assert await returning.act(slots[0], ROLE) is OrderState.DONE
-    returning.table.restore_copy(copy)
-    assert await returning.act(slots[1], ROLE) is OrderState.WAITING
+    slots = [shared.slot(f"slot-{number}", engine) for number in range(2)]
+    copy = shared.table.copy()
+    assert await shared.act(slots[0], ROLE) is OrderState.DONE
+    shared.table.restore_copy(copy)
+    assert await shared.act(slots[1], ROLE) is OrderState.WAITING
     await slots[0].eras.refresh_era()
-    returning.now += 60.0
+    shared.now += 60.0
     await slots[0].eras.refresh_era()
-    assert await returning.act(slots[1], ROLE) is OrderState.DONE
+    assert await shared.act(slots[1], ROLE) is OrderState.DONE
     assert engine.effects.total() == 1
 
 
-async def test_order_is_not_sent_under_a_lease_of_an_earlier_era(returning):
+async def test_order_is_not_sent_under_a_lease_of_an_earlier_era(shared):
     """The table is restored while the claim of an order is written, and has lost the lease."""
     engine = Engine(checks_fencing=True)
-    slot = returning.slot("slot-0", engine)
+    slot = shared.slot("slot-0", engine)
     claim = slot.claims.claim
 
-    async def claim_and_return(request, now):
+    async def claim_and_restore(request, now):
         claimed = await claim(request, now)
-        returning.table.restore_copy(returning.table.copy())
+        shared.table.restore_copy(shared.table.copy())
         return claimed
 
-    slot.claims.claim = claim_and_return
-    assert await returning.act(slot, ROLE) is OrderState.WAITING
+    slot.claims.claim = claim_and_restore
+    assert await shared.act(slot, ROLE) is OrderState.WAITING
     assert engine.effects.total() == 0
--- a/packages/burdockquay-standins/src/burdockquay_standins/_feed_table.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_feed_table.py
@@ -73,7 +73,7 @@
     2
     >>> [row.value for row in store.changes("fruit", 1)]
     [None]
-    >>> store.restore_from(store.copy(1))
+    >>> store.restore_copy(store.copy(1))
     >>> store.era, [row.key for row in store.rows("fruit")]
     (2, ['apple'])
     """
@@ -120,7 +120,7 @@
         changes = tuple(row for row in self._changes if row.revision <= upto)
         return FeedCopy(changes, min(self._discarded_upto, upto))
 
-    def restore_from(self, copy: FeedCopy) -> None:
+    def restore_copy(self, copy: FeedCopy) -> None:
         """Begin a new era with the rows and the history of a copy."""
         self.era += 1
         self.revision = copy.revision
--- a/packages/burdockquay-state/src/burdockquay_state/tests/test_claims.py
+++ b/packages/burdockquay-state/src/burdockquay_state/tests/test_claims.py
@@ -22,7 +22,7 @@
 async def test_stale_read_does_not_count_as_a_cancellation():
     """An attempt is cancelled, the next one claims the key, and the entry loses the connection to
     its slot. A stale read then shows the entry the row from before the claim, as cancelled. The
-    caller would be told that nothing ran while the request runs.
+    caller would get the answer that nothing ran while the request runs.
     """
     table = LaggingTable()
     claims = ClaimStore(table, MemoryObjectStore())
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_table_feed.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_table_feed.py
@@ -348,10 +348,10 @@
             if message.era != self._position.era:
                 continue
             as_of = self._valid_at(message)
-            fit = self.poll_schedule.classify_changes(
+            continuity = self.poll_schedule.classify_changes(
                 self._position.revision, message.after, message.upto
             )
-            if fit is ChangeContinuity.GAP:
+            if continuity is ChangeContinuity.GAP:
                 continue
             self.poll_schedule.confirm_by_peer(as_of, self.store.now())
             # A message may begin before the known position. A row from the copy that is received
