--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ._outcome_ledger import Outcomes
+from ._outcome_relay import Outcomes
 
 SUSPEND_S = 0.5
 """First suspension of an upstream that could not be reached, seconds; doubles with each failure."""
@@ -143,8 +143,8 @@
     def record_replaced(self) -> None:
         """Record that another id answers at the address of the upstream.
 
-        To other processes it is reported as unreachable only. Each of them finds out by itself that
-        the upstream is gone, so that one wrong answer does not take it out of use everywhere.
+        To other processes it is reported as unreachable only. Each of them detects by itself
+        that the upstream is unavailable, so that one wrong answer does not suspend it everywhere.
         """
         self._add_unsent(Outcomes(failed=1, unreachable=1))
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
@@ -38,8 +38,8 @@
         self.rng = random.Random(seed)
         self.shares = shares
         self.unreachable = unreachable
-        self.ledger = OutcomeRelay()
-        self.ledger.set_recipients(near=map(str, range(PROCESSES)), far=[])
+        self.outcome_relay = OutcomeRelay()
+        self.outcome_relay.set_recipients(near=map(str, range(PROCESSES)), far=[])
         self.registries = [UpstreamRegistry(self.rng) for _ in range(PROCESSES)]
         listed = tuple(entry(f"u{number}", 1) for number in range(UPSTREAMS))
         for registry in self.registries:
@@ -72,9 +72,9 @@
                 for upstream in registry.all()
                 if (outcomes := upstream.health.take_unsent_outcomes()) is not None
             }
-            self.ledger.receive_update(str(number), sent, is_near=True)
+            self.outcome_relay.receive_update(str(number), sent, is_near=True)
         for number, registry in enumerate(self.registries):
-            for id_, outcomes in self.ledger.take(str(number)).items():
+            for id_, outcomes in self.outcome_relay.take(str(number)).items():
                 if self.shares:
                     registry.find(id_).health.apply_peer_outcomes(outcomes, now)
 
@@ -137,10 +137,10 @@
 
 
 def test_relay_sends_outcomes_of_its_domain_once():
-    ledger = OutcomeRelay()
-    ledger.set_recipients(near=["near"], far=["far"])
-    ledger.receive_update("me", {"u": Outcomes(failed=1)}, is_near=True)
-    ledger.receive_update("far", {"u": Outcomes(failed=2)}, is_near=False)
-    assert ledger.take("near") == {"u": Outcomes(failed=3)}
-    assert ledger.take("far") == {"u": Outcomes(failed=1)}
-    assert ledger.take("near") == {}
+    outcome_relay = OutcomeRelay()
+    outcome_relay.set_recipients(near=["near"], far=["far"])
+    outcome_relay.receive_update("me", {"u": Outcomes(failed=1)}, is_near=True)
+    outcome_relay.receive_update("far", {"u": Outcomes(failed=2)}, is_near=False)
+    assert outcome_relay.take("near") == {"u": Outcomes(failed=3)}
+    assert outcome_relay.take("far") == {"u": Outcomes(failed=1)}
+    assert outcome_relay.take("near") == {}
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
@@ -137,28 +137,28 @@
 
 
 def test_older_configuration_is_behind_until_the_newest_is_shown():
-    standing = ConfigVersionTracker()
-    standing.record_shown_version(9, 1.0)
-    standing.record_held_version(9, 1.0)
-    standing.record_shown_version(7, 5.0)
-    assert standing.is_behind and standing.behind_s(6.0) == 1.0
-    assert not standing.is_outdated(60.0), "this process acts on the newest configuration"
-    standing.record_shown_version(8, 6.0)
-    assert standing.is_behind
-    standing.record_shown_version(9, 7.0)
-    assert not standing.is_behind
+    config_versions = ConfigVersionTracker()
+    config_versions.record_shown_version(9, 1.0)
+    config_versions.record_held_version(9, 1.0)
+    config_versions.record_shown_version(7, 5.0)
+    assert config_versions.is_behind and config_versions.behind_s(6.0) == 1.0
+    assert not config_versions.is_outdated(60.0), "this process acts on the newest configuration"
+    config_versions.record_shown_version(8, 6.0)
+    assert config_versions.is_behind
+    config_versions.record_shown_version(9, 7.0)
+    assert not config_versions.is_behind
 
 
 def test_process_has_time_to_read_a_newer_configuration():
     """A configuration and the message that it is in force arrive by different paths."""
-    standing = ConfigVersionTracker()
-    standing.record_shown_version(7, 1.0)
-    standing.record_held_version(7, 1.0)
-    standing.record_version_in_force(8, 12.0)
-    assert standing.is_behind and not standing.is_outdated(12.9)
-    assert standing.is_outdated(13.0)
-    standing.record_held_version(8, 13.1)
-    assert not standing.is_outdated(19.0)
+    config_versions = ConfigVersionTracker()
+    config_versions.record_shown_version(7, 1.0)
+    config_versions.record_held_version(7, 1.0)
+    config_versions.record_version_in_force(8, 12.0)
+    assert config_versions.is_behind and not config_versions.is_outdated(12.9)
+    assert config_versions.is_outdated(13.0)
+    config_versions.record_held_version(8, 13.1)
+    assert not config_versions.is_outdated(19.0)
 
 
 @pytest.mark.parametrize("received_at", [0.5, 2.0])
@@ -167,10 +167,10 @@
 
     For a second the process would honour keys that were withdrawn long before it started.
     """
-    standing = ConfigVersionTracker()
-    standing.record_shown_version(7, 1.0)
+    config_versions = ConfigVersionTracker()
+    config_versions.record_shown_version(7, 1.0)
     if received_at < 1.0:
-        standing.record_version_in_force(8, received_at)
-    standing.record_held_version(7, 1.0)
-    standing.record_version_in_force(8, 2.0)
-    assert standing.is_outdated(2.0)
+        config_versions.record_version_in_force(8, received_at)
+    config_versions.record_held_version(7, 1.0)
+    config_versions.record_version_in_force(8, 2.0)
+    assert config_versions.is_outdated(2.0)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
@@ -83,9 +83,9 @@
 
 def _apply_configuration(state: ForwarderState, config: ForwardConfig, as_of: float) -> None:
     now = state.clock.now()
-    state.standing.record_shown_version(config.version, now)
+    state.config_versions.record_shown_version(config.version, now)
     if state.directory is None and state.platform.exchange.era.newest > FIRST_ERA:
-        state.standing.record_unverified(now)
+        state.config_versions.record_unverified(now)
     if state.apply(config):
         log_event(
             Event.CONFIGURATION_APPLIED,
@@ -93,12 +93,12 @@
             routes=len(config.routes),
             age_s=now - as_of,
         )
-    if state.standing.is_behind:
+    if state.config_versions.is_behind:
         log_event(
             Event.CONFIGURATION_KEPT,
             revision=state.directory.config.version,
             shown=config.version,
-            newest=state.standing.newest,
+            newest=state.config_versions.newest,
             age_s=state.lease.age(now),
         )
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_outcome_sharing.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_outcome_sharing.py
@@ -39,7 +39,7 @@
         self.state = state
         self.identity = identity
         self.post = post
-        self._ledger = OutcomeRelay()
+        self._outcome_relay = OutcomeRelay()
         self._unsent_own: dict[str, Outcomes] = {}
         self._sent_at = float("-inf")
 
@@ -49,17 +49,17 @@
         is_due = now - self._sent_at >= SUCCESS_INTERVAL_S
         if is_due:
             self._sent_at = now
-        self._ledger.set_recipients(targets.near, targets.far)
+        self._outcome_relay.set_recipients(targets.near, targets.far)
         self._send_own(targets.relay, is_due)
         for name, peer in {**targets.near, **targets.far}.items():
-            if is_due or self._ledger.has_failures(name):
-                self._send_to(peer, self._ledger.take(name))
+            if is_due or self._outcome_relay.has_failures(name):
+                self._send_to(peer, self._outcome_relay.take(name))
 
     def receive(self, peer: PeerConnection, message: UpstreamOutcomes) -> None:
         """Apply the outcomes of requests of others."""
         received = {item.upstream: _decode(item) for item in message.outcomes}
         is_near = peer.peer.failure_domain == self.identity.failure_domain
-        self._ledger.receive_update(peer.peer.incarnation, received, is_near)
+        self._outcome_relay.receive_update(peer.peer.incarnation, received, is_near)
         if not self.state.switches.uses(Mechanism.SHARED_OUTCOMES):
             return
         now = self.state.clock.now()
@@ -74,7 +74,7 @@
             for upstream in self.state.upstream_registry.all()
             if (outcomes := upstream.health.take_unsent_outcomes()) is not None
         }
-        self._ledger.receive_update(self.identity.incarnation, new, is_near=True)
+        self._outcome_relay.receive_update(self.identity.incarnation, new, is_near=True)
         add_outcomes(self._unsent_own, new)
         if is_due or any(outcomes.failed for outcomes in self._unsent_own.values()):
             own, self._unsent_own = self._unsent_own, {}
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
@@ -331,7 +331,7 @@
         peer.keep_alive(HEARTBEAT_S, RECEIVE_TIMEOUT_S, lambda: Heartbeat(0))
         log_event(Event.PEER_CONNECTED, vm=peer.peer.vm, incarnation=peer.peer.incarnation)
         self._key_repeater.reset()
-        newest = self.state.standing.newest
+        newest = self.state.config_versions.newest
         if newest:
             # The peer may have started with an older configuration from a store that was restored.
             peer.post(EncodedMessage(NewestConfiguration(newest)))
@@ -375,8 +375,8 @@
         honoured = self.state.keys_trusted(now)
         if self._key_repeater.is_due(honoured, now):
             post_all(self._key_status_recipients, KeysHonoured(honoured))
-        standing = self.state.standing
-        newest = 0 if standing.is_unverified(now) else standing.newest
+        config_versions = self.state.config_versions
+        newest = 0 if config_versions.is_unverified(now) else config_versions.newest
         if newest and self._configuration_repeater.is_due(newest, now):
             post_all(self._key_status_recipients, NewestConfiguration(newest))
 
@@ -413,7 +413,7 @@
         self._receive_changes(peer, message.to_table_changes())
 
     def _receive_configuration(self, peer: PeerConnection, message: NewestConfiguration) -> None:
-        self.state.standing.record_peer_confirmation(message.version, self.state.clock.now())
+        self.state.config_versions.record_peer_confirmation(message.version, self.state.clock.now())
 
     def _receive_crash(self, peer: PeerConnection, message: UpstreamCrash) -> None:
         for digest in message.digests:
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_state.py
@@ -68,7 +68,7 @@
         self.switches = platform.exchange.switches
         self.directory: ConfigDirectory | None = None
         self.lease = FreshnessLease(settings.withdrawal_ms / 1000 * LEASE_SHARE)
-        self.standing = ConfigVersionTracker()
+        self.config_versions = ConfigVersionTracker()
         self.upstream_registry = UpstreamRegistry(rng)
         self.suspects = CrashSuspects()
         self.others = PeerAvailability()
@@ -110,7 +110,7 @@
         if self.directory is not None and config.version <= self.directory.config.version:
             return False
         self.directory = ConfigDirectory(config)
-        self.standing.record_held_version(config.version, self.clock.now())
+        self.config_versions.record_held_version(config.version, self.clock.now())
         self.upstream_registry.set_memory_capacities(
             {item.service: item.tokens for item in config.memories}
         )
@@ -122,7 +122,7 @@
         Nothing is confirmed if a newer configuration is in force at any process: the platform then
         shows an old one, and keys that the newer one withdraws must not be honoured.
         """
-        if not self.standing.is_behind:
+        if not self.config_versions.is_behind:
             self.lease.confirm(as_of)
 
     def dispatcher(self, service: str) -> PromptDispatcher:
@@ -147,7 +147,7 @@
         age = self.lease.age(now)
         metrics.config_age.set(float("nan") if age is None else age)
         metrics.store_era.set(self.platform.exchange.era.newest)
-        metrics.config_kept.set(self.standing.behind_s(now))
+        metrics.config_kept.set(self.config_versions.behind_s(now))
         metrics.keys_trusted.set(self.keys_trusted(now))
         metrics.revision.set(self.directory.config.version if self.directory else 0)
         for service, dispatcher in self._dispatchers.items():
@@ -184,7 +184,7 @@
         """Return whether API keys may be honoured."""
         if not self.settings.keys_fail_closed:
             return True
-        if self.standing.is_outdated(now) or self.standing.is_unverified(now):
+        if self.config_versions.is_outdated(now) or self.config_versions.is_unverified(now):
             return False
         return self.lease.is_fresh(now)
 
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    play : Play
+    play : DayRun
     worth : float
         Score of the day.
     served : float
