--- a/benchmarks/_era_claims.py
+++ b/benchmarks/_era_claims.py
@@ -31,7 +31,7 @@
 OUTAGE_START_S = 3.0
 OUTAGE_S = 1.0
 AFTER_RESTORE_S = 6.0
-"""Time from the restoration to the last new key, seconds."""
+"""Time from the restore to the last new key, seconds."""
 
 SEED = 1
 
--- a/benchmarks/bench_era.py
+++ b/benchmarks/bench_era.py
@@ -2,7 +2,7 @@
 
 Forwarders in one event loop serve calls while the store becomes unavailable and is restored from a
 copy that is some seconds old. The copy lacks a configuration and the state of an upstream that is
-leaving; a key is withdrawn after the restoration. In one scenario a quarter of the processes reach
+leaving; a key is withdrawn after the restore. In one scenario a quarter of the processes reach
 the store later than the others. The processes exchange updates of the store's tables in memory, so
 the figures include neither connections between them nor a member list. Callers do not retry.
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_store_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_store_era.py
@@ -29,7 +29,7 @@
 
     @property
     def restored_at(self) -> float:
-        """Time at which this process detected the last restoration of the store."""
+        """Time at which this process detected the last restore of the store."""
         return self._restored_at
 
     def is_past(self, era: int) -> bool:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_polling.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_polling.py
@@ -56,11 +56,11 @@
 def test_processes_that_receive_no_updates_do_not_poll_at_the_same_time():
     """Hundreds of processes would poll at the same moment and be rejected as too many."""
     rng = random.Random(1)
-    turns = [PollSchedule(rng) for _ in range(100)]
-    for poll_schedule in turns:
+    schedules = [PollSchedule(rng) for _ in range(100)]
+    for poll_schedule in schedules:
         poll_schedule.is_poller = False
         poll_schedule.confirm_by_peer(0.0, 0.0)
-    due = sum(poll_schedule.is_due(1.25 * WAIT_S, WAIT_S) for poll_schedule in turns)
+    due = sum(poll_schedule.is_due(1.25 * WAIT_S, WAIT_S) for poll_schedule in schedules)
     assert 0 < due < 50
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_membership.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_membership.py
@@ -51,9 +51,9 @@
     connect_all(membership, 0.0)
     membership.update_list([], 1.0)
     assert names(membership.targets(GROUP, 1.0)) == before
-    gone = min(before)
-    membership.disconnected(gone, f"{gone}-a", 2.0)
-    assert names(membership.targets(GROUP, 2.0)) == before - {gone}
+    disconnected_vm = min(before)
+    membership.disconnected(disconnected_vm, f"{disconnected_vm}-a", 2.0)
+    assert names(membership.targets(GROUP, 2.0)) == before - {disconnected_vm}
 
 
 @pytest.mark.parametrize("source", ["list", "slot"])
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_feed_table.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_feed_table.py
@@ -1,4 +1,4 @@
-"""Tests of the store with change feeds, and of its restoration from a copy."""
+"""Tests of the store with change feeds, and of its restore from a copy."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
     return {row.key: row.value for row in store.rows("fruit")}
 
 
-def test_restoration_undoes_changes_since_the_copy(store):
+def test_restore_undoes_changes_since_the_copy(store):
     copy = store.copy()
     store.put("fruit", "apple", b"brown")
     store.remove("fruit", "pear")
--- a/packages/burdockquay-standins/src/burdockquay_standins/tests/test_platform.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/tests/test_platform.py
@@ -157,7 +157,7 @@
             assert await response.read() == b"content"
 
 
-async def test_restoration_from_a_copy_loses_writes_and_reuses_their_versions(client):
+async def test_restore_from_a_copy_loses_writes_and_reuses_their_versions(client):
     async with PlatformStandin(PlatformParameters(era=1)) as server:
         await call(client, server, "/faults", {"copy": True})
         assert await call(client, server, "/table/transact", put("a", b"1")) == {"versions": [1]}
--- a/packages/burdockquay/src/burdockquay/_explain.py
+++ b/packages/burdockquay/src/burdockquay/_explain.py
@@ -38,11 +38,11 @@
 )
 """Events that change the state on which a process bases its decisions about requests."""
 
-STORE_RESTORATION_EVENTS = frozenset({"configuration_kept", "store_returned", "upstreams_kept"})
-"""Events of this kind that report the restoration of a store from a copy."""
+STORE_RESTORE_EVENTS = frozenset({"configuration_kept", "store_returned", "upstreams_kept"})
+"""Events of this kind that report the restore of a store from a copy."""
 
-RESTORATION_CONTEXT_BEFORE = timedelta(seconds=30)
-"""Period before a request for which restorations are included: a process keeps using the rows it
+RESTORE_CONTEXT_BEFORE = timedelta(seconds=30)
+"""Period before a request for which restores are included: a process keeps using the rows it
 had until the writer of each row has written it again."""
 
 _COMMON_KEYS = ("time", "level", "event", "name", "vm", "request")
@@ -125,8 +125,7 @@
             and line.request is None
             and line.vm in vms
             and (
-                line.name in STATE_CHANGE_EVENTS | STORE_RESTORATION_EVENTS
-                or line.mentions(upstreams)
+                line.name in STATE_CHANGE_EVENTS | STORE_RESTORE_EVENTS or line.mentions(upstreams)
             )
         )
     ]
@@ -134,14 +133,14 @@
 
 def _context_before(event: str) -> timedelta:
     """Return how long before a request an event is still included."""
-    return RESTORATION_CONTEXT_BEFORE if event in STORE_RESTORATION_EVENTS else CONTEXT_BEFORE
+    return RESTORE_CONTEXT_BEFORE if event in STORE_RESTORE_EVENTS else CONTEXT_BEFORE
 
 
 def count_failures(lines: Iterable[LogLine], timeline: list[LogLine]) -> dict[str, int]:
     """Count the failed sends of other requests at each upstream of a timeline, during its time."""
     if not timeline:
         return {}
-    included_times = [line.time for line in timeline if line.name not in STORE_RESTORATION_EVENTS]
+    included_times = [line.time for line in timeline if line.name not in STORE_RESTORE_EVENTS]
     first, last = included_times[0], included_times[-1]
     own = {line.request for line in timeline} - {None}
     upstreams = {str(line.fields["upstream"]) for line in timeline if "upstream" in line.fields}
--- a/packages/burdockquay/src/burdockquay/tests/test_explain.py
+++ b/packages/burdockquay/src/burdockquay/tests/test_explain.py
@@ -39,7 +39,7 @@
     ]
 
 
-def test_timeline_includes_a_restoration_of_the_store_long_before_the_request():
+def test_timeline_includes_a_restore_of_the_store_long_before_the_request():
     """Guards against a request rejected because of a kept configuration, where the timeline does
     not show that it was kept."""
     log = [
@@ -59,7 +59,7 @@
     ]
 
 
-def test_failures_between_a_restoration_and_the_request_are_not_counted():
+def test_failures_between_a_restore_and_the_request_are_not_counted():
     log = [
         line(1.0, "store_returned", era=2),
         line(2.0, "send_failed", request="r0", upstream="i-1"),
