--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
@@ -144,7 +144,7 @@
         """Record that another id answers at the address of the upstream.
 
         To other processes it is reported as unreachable only. Each of them detects by itself
-        that the upstream is unavailable, so that one wrong answer does not suspend it everywhere.
+        that the upstream is unavailable, so that one wrong answer does not remove it everywhere.
         """
         self._add_unsent(Outcomes(failed=1, unreachable=1))
 
