--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
@@ -96,7 +96,7 @@
 def test_part_is_not_fetched_from_an_upstream_that_has_not_read_it_yet(upstreams, model):
     """A burst of requests with one shared part arrives before the part is read.
 
-    An upstream that was told to fetch the part found nothing to fetch and read all of it again: the
+    An upstream that was instructed to fetch the part found nothing and read all of it again: the
     engines read the same tokens two to four times, which delayed all requests.
     """
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
@@ -195,7 +195,7 @@
 def test_slow_upstream_is_avoided_and_retried(upstreams, model):
     preferred = place(upstreams, short_prompt(), model, 0.0).upstream
     for _ in range(20):
-        preferred.reading.learn(6.0, 0.0)
+        preferred.reading.add_sample(6.0, 0.0)
     assert place(upstreams, short_prompt(), model, 0.1).upstream is not preferred
     assert preferred.reading.value(60.0) < 1.1
 
@@ -238,9 +238,9 @@
     rng = random.Random(3)
     for _ in range(200):
         tokens = rng.uniform(600, 20_000)
-        model.learn(tokens, 0.08 + tokens / 90_000)
+        model.add_sample(tokens, 0.08 + tokens / 90_000)
     assert model.predict(9000) == pytest.approx(0.18, rel=0.05)
-    model.learn(9000, 30.0)
+    model.add_sample(9000, 30.0)
     assert model.predict(9000) == pytest.approx(0.18, rel=0.25)
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_store_eras.py
@@ -16,7 +16,7 @@
     WITHHOLD_S,
 )
 
-RETURNED = 100.0
+RESTORED_AT = 100.0
 
 
 def entry(era, revision, sequence, leaving=False, started_ms=None):
@@ -25,150 +25,152 @@
     )
 
 
-def returned(*listed, unreadable=()):
-    return UpstreamChanges(True, listed, (), unreadable, RETURNED, True)
+def restored(*listed, unreadable=()):
+    return UpstreamChanges(True, listed, (), unreadable, RESTORED_AT, True)
 
 
 def changed(*listed, removed=()):
-    return UpstreamChanges(False, listed, removed, last_failure_at=RETURNED)
+    return UpstreamChanges(False, listed, removed, last_failure_at=RESTORED_AT)
 
 
-def accepts_work(book):
-    return [item.id for item in book.of_service("s") if item.accepts_work()]
+def accepts_work(registry):
+    return [item.id for item in registry.of_service("s") if item.accepts_work()]
 
 
 @pytest.fixture
-def book():
+def registry():
     """Return a registry with one upstream that was read in the first era."""
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry(1, 50, 5),)), 0.0)
-    return book
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry(1, 50, 5),)), 0.0)
+    return registry
 
 
-def test_entry_with_a_lower_revision_is_applied_after_a_restore(book):
+def test_entry_with_a_lower_revision_is_applied_after_a_restore(registry):
     """An upstream starts draining; its revisions began again below the one that is known."""
-    book.apply(returned(entry(2, 20, 4)), RETURNED)
-    book.apply(changed(entry(2, 30, 6, leaving=True)), RETURNED)
-    assert accepts_work(book) == []
+    registry.apply(restored(entry(2, 20, 4)), RESTORED_AT)
+    registry.apply(changed(entry(2, 30, 6, leaving=True)), RESTORED_AT)
+    assert accepts_work(registry) == []
 
 
 @pytest.mark.parametrize("sequence", [4, 6])
-def test_old_entry_of_the_copy_does_not_undo_draining(book, sequence):
-    book.apply(changed(entry(1, 60, 6, leaving=True)), 90.0)
-    book.apply(returned(entry(2, 50, sequence)), RETURNED)
-    assert accepts_work(book) == []
-    book.apply(changed(entry(2, 70, 8)), RETURNED + 1)
-    assert accepts_work(book) == ["a"], "its newer entry counts"
+def test_old_entry_of_the_copy_does_not_undo_draining(registry, sequence):
+    registry.apply(changed(entry(1, 60, 6, leaving=True)), 90.0)
+    registry.apply(restored(entry(2, 50, sequence)), RESTORED_AT)
+    assert accepts_work(registry) == []
+    registry.apply(changed(entry(2, 70, 8)), RESTORED_AT + 1)
+    assert accepts_work(registry) == ["a"], "its newer entry counts"
 
 
-def test_late_entry_of_the_former_era_is_ignored(book):
-    book.apply(returned(entry(2, 20, 7, leaving=True)), RETURNED)
-    book.apply(changed(entry(1, 90, 8)), RETURNED)
-    assert accepts_work(book) == []
+def test_late_entry_of_the_former_era_is_ignored(registry):
+    registry.apply(restored(entry(2, 20, 7, leaving=True)), RESTORED_AT)
+    registry.apply(changed(entry(1, 90, 8)), RESTORED_AT)
+    assert accepts_work(registry) == []
 
 
-def test_upstream_with_an_unreadable_row_after_a_restore_gets_no_work(book):
-    book.apply(returned(unreadable=(UnreadableEntry("a", 20, 2),)), RETURNED)
-    assert accepts_work(book) == []
+def test_upstream_with_an_unreadable_row_after_a_restore_gets_no_work(registry):
+    registry.apply(restored(unreadable=(UnreadableEntry("a", 20, 2),)), RESTORED_AT)
+    assert accepts_work(registry) == []
 
 
-def test_former_incarnation_in_the_copy_does_not_replace_the_present_one(book):
-    book.apply(changed(entry(1, 60, 1, started_ms=2000)), 90.0)
-    assert book.apply(returned(entry(2, 50, 9, started_ms=1000)), RETURNED) == []
-    assert [item.incarnation for item in book.all()] == ["a@2000"]
+def test_former_incarnation_in_the_copy_does_not_replace_the_present_one(registry):
+    registry.apply(changed(entry(1, 60, 1, started_ms=2000)), 90.0)
+    assert registry.apply(restored(entry(2, 50, 9, started_ms=1000)), RESTORED_AT) == []
+    assert [item.incarnation for item in registry.all()] == ["a@2000"]
 
 
 @pytest.fixture
-def removed_book():
+def removed_registry():
     """Return a registry whose only upstream was removed before the store was restored."""
-    book = UpstreamRegistry()
-    book.apply(UpstreamChanges(True, (entry(1, 50, 5, started_ms=2000),)), 0.0)
-    book.apply(UpstreamChanges(False, removed=("a",)), RETURNED - 5)
-    return book
+    registry = UpstreamRegistry()
+    registry.apply(UpstreamChanges(True, (entry(1, 50, 5, started_ms=2000),)), 0.0)
+    registry.apply(UpstreamChanges(False, removed=("a",)), RESTORED_AT - 5)
+    return registry
 
 
 @pytest.mark.parametrize(("sequence", "started_ms"), [(5, 2000), (4, 2000), (9, 1000)])
-def test_removed_upstream_gets_no_work_from_the_copy(removed_book, sequence, started_ms):
-    removed_book.apply(returned(entry(2, 40, sequence, started_ms=started_ms)), RETURNED)
-    assert accepts_work(removed_book) == []
-    assert list(removed_book.withheld) == ["a"]
-    removed_book.apply(changed(removed=("a",)), RETURNED + 3)
-    removed_book.settle(RETURNED + WITHHOLD_S)
-    assert accepts_work(removed_book) == []
+def test_removed_upstream_gets_no_work_from_the_copy(removed_registry, sequence, started_ms):
+    removed_registry.apply(restored(entry(2, 40, sequence, started_ms=started_ms)), RESTORED_AT)
+    assert accepts_work(removed_registry) == []
+    assert list(removed_registry.withheld) == ["a"]
+    removed_registry.apply(changed(removed=("a",)), RESTORED_AT + 3)
+    removed_registry.settle(RESTORED_AT + WITHHOLD_S)
+    assert accepts_work(removed_registry) == []
 
 
 @pytest.mark.parametrize(("sequence", "started_ms"), [(6, 2000), (1, 3000)])
-def test_removed_upstream_that_writes_again_gets_work(removed_book, sequence, started_ms):
-    removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    removed_book.apply(changed(entry(2, 70, sequence, started_ms=started_ms)), RETURNED + 1)
-    assert accepts_work(removed_book) == ["a"]
-    assert list(removed_book.withheld) == []
+def test_removed_upstream_that_writes_again_gets_work(removed_registry, sequence, started_ms):
+    removed_registry.apply(restored(entry(2, 40, 5, started_ms=2000)), RESTORED_AT)
+    removed_registry.apply(changed(entry(2, 70, sequence, started_ms=started_ms)), RESTORED_AT + 1)
+    assert accepts_work(removed_registry) == ["a"]
+    assert list(removed_registry.withheld) == []
 
 
-def test_removed_upstream_that_stays_listed_gets_work_after_a_while(removed_book):
+def test_removed_upstream_that_stays_listed_gets_work_after_a_while(removed_registry):
     """The upstream is alive and had no reason to write more than its entry in the copy holds."""
-    removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    removed_book.settle(RETURNED + WITHHOLD_S)
-    assert accepts_work(removed_book) == ["a"]
+    removed_registry.apply(restored(entry(2, 40, 5, started_ms=2000)), RESTORED_AT)
+    removed_registry.settle(RESTORED_AT + WITHHOLD_S)
+    assert accepts_work(removed_registry) == ["a"]
 
 
-def test_removed_upstream_listed_in_the_same_era_gets_work_at_once(removed_book):
-    removed_book.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RETURNED)
-    assert accepts_work(removed_book) == ["a"], "in the same era a listed upstream is available"
-    late = RETURNED + 2 * REMOVED_RETENTION_S
-    removed_book.apply(UpstreamChanges(False, removed=("a",)), late)
-    assert len(removed_book) == 0
+def test_removed_upstream_listed_in_the_same_era_gets_work_at_once(removed_registry):
+    removed_registry.apply(UpstreamChanges(True, (entry(1, 80, 5, started_ms=2000),)), RESTORED_AT)
+    assert accepts_work(removed_registry) == ["a"], "in the same era a listed upstream is available"
+    late = RESTORED_AT + 2 * REMOVED_RETENTION_S
+    removed_registry.apply(UpstreamChanges(False, removed=("a",)), late)
+    assert len(removed_registry) == 0
 
 
-def test_upstream_that_the_copy_lacks_is_kept_until_it_has_had_time_to_write(book):
-    book.apply(returned(), RETURNED)
-    assert accepts_work(book) == ["a"] and list(book.missing) == ["a"]
-    book.settle(RETURNED + RELIST_WAIT_S)
-    assert accepts_work(book) == []
+def test_upstream_that_the_copy_lacks_is_kept_until_it_has_had_time_to_write(registry):
+    registry.apply(restored(), RESTORED_AT)
+    assert accepts_work(registry) == ["a"] and list(registry.missing) == ["a"]
+    registry.settle(RESTORED_AT + RELIST_WAIT_S)
+    assert accepts_work(registry) == []
 
 
-def test_withheld_upstream_is_released_once(removed_book):
-    removed_book.apply(returned(entry(2, 40, 5, started_ms=2000)), RETURNED)
-    removed_book.settle(RETURNED + WITHHOLD_S)
-    removed_book.apply(changed(attrs.evolve(entry(2, 90, 6, started_ms=2000))), RETURNED + 11)
-    assert len(removed_book.of_service("s")) == 1
+def test_withheld_upstream_is_released_once(removed_registry):
+    removed_registry.apply(restored(entry(2, 40, 5, started_ms=2000)), RESTORED_AT)
+    removed_registry.settle(RESTORED_AT + WITHHOLD_S)
+    removed_registry.apply(
+        changed(attrs.evolve(entry(2, 90, 6, started_ms=2000))), RESTORED_AT + 11
+    )
+    assert len(removed_registry.of_service("s")) == 1
 
 
 def test_older_configuration_is_behind_until_the_newest_is_shown():
-    standing = ConfigVersionTracker()
-    standing.record_shown_version(9, 1.0)
-    standing.record_held_version(9, 1.0)
-    standing.record_shown_version(7, 5.0)
-    assert standing.is_behind and standing.behind_s(6.0) == 1.0
-    assert not standing.is_outdated(60.0), "this process acts on the newest configuration"
-    standing.record_shown_version(8, 6.0)
-    assert standing.is_behind
-    standing.record_shown_version(9, 7.0)
-    assert not standing.is_behind
+    config_versions = ConfigVersionTracker()
+    config_versions.record_shown_version(9, 1.0)
+    config_versions.record_held_version(9, 1.0)
+    config_versions.record_shown_version(7, 5.0)
+    assert config_versions.is_behind and config_versions.behind_s(6.0) == 1.0
+    assert not config_versions.is_outdated(60.0), "this process acts on the newest configuration"
+    config_versions.record_shown_version(8, 6.0)
+    assert config_versions.is_behind
+    config_versions.record_shown_version(9, 7.0)
+    assert not config_versions.is_behind
 
 
 def test_process_has_time_to_read_a_newer_configuration():
     """A configuration and the message that it is in force arrive by different paths."""
-    standing = ConfigVersionTracker()
-    standing.record_shown_version(7, 1.0)
-    standing.record_held_version(7, 1.0)
-    standing.record_version_in_force(8, 12.0)
-    assert standing.is_behind and not standing.is_outdated(12.9)
-    assert standing.is_outdated(13.0)
-    standing.record_held_version(8, 13.1)
-    assert not standing.is_outdated(19.0)
-
-
-@pytest.mark.parametrize("told_at", [0.5, 2.0])
-def test_process_that_starts_with_an_old_configuration_gets_no_such_time(told_at):
+    config_versions = ConfigVersionTracker()
+    config_versions.record_shown_version(7, 1.0)
+    config_versions.record_held_version(7, 1.0)
+    config_versions.record_version_in_force(8, 12.0)
+    assert config_versions.is_behind and not config_versions.is_outdated(12.9)
+    assert config_versions.is_outdated(13.0)
+    config_versions.record_held_version(8, 13.1)
+    assert not config_versions.is_outdated(19.0)
+
+
+@pytest.mark.parametrize("received_at", [0.5, 2.0])
+def test_process_that_starts_with_an_old_configuration_gets_no_such_time(received_at):
     """The store shows an older configuration than is in force; the message arrives before or after.
 
     For a second the process would honour keys that were withdrawn long before it started.
     """
-    standing = ConfigVersionTracker()
-    standing.record_shown_version(7, 1.0)
-    if told_at < 1.0:
-        standing.record_version_in_force(8, told_at)
-    standing.record_held_version(7, 1.0)
-    standing.record_version_in_force(8, 2.0)
-    assert standing.is_outdated(2.0)
+    config_versions = ConfigVersionTracker()
+    config_versions.record_shown_version(7, 1.0)
+    if received_at < 1.0:
+        config_versions.record_version_in_force(8, received_at)
+    config_versions.record_held_version(7, 1.0)
+    config_versions.record_version_in_force(8, 2.0)
+    assert config_versions.is_outdated(2.0)
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
@@ -42,8 +42,8 @@
     initiate_handshake,
 )
 from .._peer_server import PeerServer
+from ._known_members import KnownMembers
 from ._load_sharing import ChangeRepeater, LoadSharing
-from ._member_book import MemberBook
 from ._outcome_sharing import OutcomeSharing
 from ._platform import Member, MemberChanges, MemberRegistry
 from ._state import ForwarderState
@@ -105,7 +105,7 @@
         self.traffic = TrafficCounts()
         self._registry: MemberRegistry = state.platform.members()
         self._links: dict[str, asyncio.Task] = {}
-        self._members = MemberBook()
+        self._members = KnownMembers()
         self._peer_connections: dict[str, PeerConnection] = {}
         self._bound: socket.socket | None = None
         self._server: PeerServer | None = None
@@ -268,7 +268,7 @@
 
     def _apply_members(self, changes: MemberChanges) -> None:
         changed = self._members.apply(changes, self.state.clock.now())
-        self.state.book.processes = len(self._members)
+        self.state.upstream_registry.processes = len(self._members)
         for vm in changed:
             self._update_link(vm)
 
@@ -331,7 +331,7 @@
         peer.keep_alive(HEARTBEAT_S, RECEIVE_TIMEOUT_S, lambda: Heartbeat(0))
         log_event(Event.PEER_CONNECTED, vm=peer.peer.vm, incarnation=peer.peer.incarnation)
         self._key_repeater.reset()
-        newest = self.state.standing.newest
+        newest = self.state.config_versions.newest
         if newest:
             # The peer may have started with an older configuration from a store that was restored.
             peer.post(EncodedMessage(NewestConfiguration(newest)))
@@ -363,7 +363,7 @@
 
     async def _keep_sending(self) -> None:
         while True:
-            is_busy = self.state.book.in_use() or self._loads.is_relay
+            is_busy = self.state.upstream_registry.in_use() or self._loads.is_relay
             shortest_s = LOADS_INTERVAL_S if is_busy else IDLE_LOADS_INTERVAL_S
             await asyncio.sleep(max(shortest_s, self._loads.follower_count / MAX_MESSAGES_PER_S))
             self._loads.send_loads()
@@ -375,8 +375,8 @@
         honoured = self.state.keys_trusted(now)
         if self._key_repeater.is_due(honoured, now):
             post_all(self._key_status_recipients, KeysHonoured(honoured))
-        standing = self.state.standing
-        newest = 0 if standing.is_unverified(now) else standing.newest
+        config_versions = self.state.config_versions
+        newest = 0 if config_versions.is_unverified(now) else config_versions.newest
         if newest and self._configuration_repeater.is_due(newest, now):
             post_all(self._key_status_recipients, NewestConfiguration(newest))
 
@@ -413,7 +413,7 @@
         self._receive_changes(peer, message.to_table_changes())
 
     def _receive_configuration(self, peer: PeerConnection, message: NewestConfiguration) -> None:
-        self.state.standing.record_peer_confirmation(message.version, self.state.clock.now())
+        self.state.config_versions.record_peer_confirmation(message.version, self.state.clock.now())
 
     def _receive_crash(self, peer: PeerConnection, message: UpstreamCrash) -> None:
         for digest in message.digests:
