--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_admission.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_admission.py
@@ -14,7 +14,7 @@
 from ._organisation_use import OrganisationUse
 from ._queues import QueuePolicy
 
-RATE_WINDOW_S = 5.0
+START_RATE_TIME_CONSTANT_S = 5.0
 """Time constant of the start rate of a class, seconds."""
 MIN_RETRY_AFTER_S = 0.1
 """Smallest ``retry_after_s`` sent to a rejected caller, seconds."""
@@ -78,11 +78,11 @@
 
     def per_second(self, now: float) -> float:
         elapsed = max(now - self.since, 1e-6)
-        observed_s = RATE_WINDOW_S * -math.expm1(-elapsed / RATE_WINDOW_S)
+        observed_s = START_RATE_TIME_CONSTANT_S * -math.expm1(-elapsed / START_RATE_TIME_CONSTANT_S)
         return (self._decayed(now) + 1.0) / observed_s
 
     def _decayed(self, now: float) -> float:
-        return self.counted * math.exp(-max(0.0, now - self.at) / RATE_WINDOW_S)
+        return self.counted * math.exp(-max(0.0, now - self.at) / START_RATE_TIME_CONSTANT_S)
 
 
 @attrs.define
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_load_turns.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_load_turns.py
@@ -16,7 +16,7 @@
     check_parameters,
 )
 
-TURN_PREFIX = "weight-store/"
+WEIGHT_LOAD_LEASE_PREFIX = "weight-store/"
 
 
 class LoadTurns:
@@ -79,7 +79,7 @@
         Each call tries only one turn: otherwise thousands of slots that wait for a turn would read
         the rows of all turns each time.
         """
-        name = f"{TURN_PREFIX}{self.rng.randrange(self.turns)}"
+        name = f"{WEIGHT_LOAD_LEASE_PREFIX}{self.rng.randrange(self.turns)}"
         return await self.leases.acquire(name, self.holder, self.duration_s, now)
 
     def keep_until_due(self, lease: Lease, taken_at: float) -> None:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_quarantine.py
@@ -10,7 +10,8 @@
 from burdockquay_protocol import Suspicion
 
 CRASHES_TO_QUARANTINE = 2
-"""Crashes during which a request must have run; in one of them as the only suspect."""
+"""Crashes during which a request must have run to be quarantined. In at least one of them it must
+have been the only suspect."""
 
 
 class Verdict(enum.Enum):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_slots.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_slots.py
@@ -160,7 +160,7 @@
         elif self._can_preempt_for(work, now) or self.policy.binding == "slot_queue":
             self._queue.add(work, now)
         else:
-            self._count_wrong_refusal(work, now)
+            self._count_avoidable_rejection(work, now)
             return Err(ErrorKind.NO_PLACE)
         self._update_active_classes()
         return Ok(None)
@@ -350,10 +350,10 @@
             return []
         return choose_victims(self._places, self._ledger, record, now)
 
-    def _count_wrong_refusal(self, work: Work, now: float) -> None:
-        """Count a rejection of protected work that had a place or a victim.
+    def _count_avoidable_rejection(self, work: Work, now: float) -> None:
+        """Count a rejection of protected work that could have started or preempted other work.
 
-        See `protected_shed`.
+        The count is `protected_shed`.
         """
         record = self._record(work)
         if not record.protected:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/__init__.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/__init__.py
@@ -17,7 +17,7 @@
     ServiceShare,
     ServiceTargets,
 )
-from ._config_standing import ConfigVersionTracker
+from ._config_versions import ConfigVersionTracker
 from ._directory import ConfigDirectory, pick_service, request_priority
 from ._engine_model import EngineModel
 from ._freshness import FreshnessLease
@@ -25,7 +25,7 @@
 from ._load_relay import LoadRelay, LoadUpdate, RelaySelector, split_by_domain
 from ._losses import LossRate
 from ._mechanisms import Mechanism, Switches
-from ._outcome_ledger import OutcomeRelay, Outcomes, OutcomesByUpstream, add_outcomes
+from ._outcome_relay import OutcomeRelay, Outcomes, OutcomesByUpstream, add_outcomes
 from ._pending import NO_LOAD, LoadShare, PendingPrompts
 from ._placing import Demand, Placement, place_prompt
 from ._polling import ChangeContinuity, PollSchedule, is_poller
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_budget.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_budget.py
@@ -5,8 +5,9 @@
 from collections import deque
 
 BUCKET_S = 0.25
-"""Width of the buckets in which requests are counted, seconds; a fortieth of the usual window, so
-that the window slides almost smoothly while a process keeps only some forty counts."""
+"""Width of the buckets in which requests are counted, seconds; a fortieth of the usual
+``window_s``, so that the window slides almost smoothly while a process keeps only some forty
+counts."""
 
 
 class RetryWindow:
@@ -31,9 +32,9 @@
         self.ratio = ratio
         self.burst = burst
         self.window_s = window_s
-        self._buckets: deque[list[float]] = deque()  # [start, requests, repeats]
+        self._buckets: deque[list[float]] = deque()  # [start, requests, retries]
         self._requests = 0.0
-        self._repeats = 0.0
+        self._retries = 0.0
 
     def record_request(self, now: float) -> None:
         """Count a request of a caller."""
@@ -43,17 +44,17 @@
     def try_retry(self, now: float) -> bool:
         """Count a retry if the budget allows it, and return whether it does."""
         bucket = self._bucket(now)
-        if self._repeats + 1 > self.ratio * self._requests + self.burst:
+        if self._retries + 1 > self.ratio * self._requests + self.burst:
             return False
         bucket[2] += 1
-        self._repeats += 1
+        self._retries += 1
         return True
 
     def _bucket(self, now: float) -> list[float]:
         while self._buckets and self._buckets[0][0] <= now - self.window_s - BUCKET_S:
-            _, requests, repeats = self._buckets.popleft()
+            _, requests, retries = self._buckets.popleft()
             self._requests -= requests
-            self._repeats -= repeats
+            self._retries -= retries
         if not self._buckets or now - self._buckets[-1][0] >= BUCKET_S:
             self._buckets.append([now, 0, 0])
         return self._buckets[-1]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_choice.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_choice.py
@@ -12,8 +12,8 @@
 from ._upstreams import Upstream
 
 REMOTE_DOMAIN_COST = 0.3
-"""Number of outstanding requests that an upstream in another failure domain must have less to be
-preferred."""
+"""Added to the number of outstanding requests of an upstream in another failure domain. It is below
+1, so it decides only between upstreams with equally many outstanding requests."""
 
 
 def choose_upstream(
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_config_standing.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_config_versions.py
@@ -25,28 +25,28 @@
 
     Examples
     --------
-    >>> standing = ConfigVersionTracker()
-    >>> standing.record_shown_version(7, now=1.0)
-    >>> standing.record_version_in_force(9, now=2.0)
-    >>> standing.is_behind, standing.behind_s(5.0)
+    >>> tracker = ConfigVersionTracker()
+    >>> tracker.record_shown_version(7, now=1.0)
+    >>> tracker.record_version_in_force(9, now=2.0)
+    >>> tracker.is_behind, tracker.behind_s(5.0)
     (True, 3.0)
-    >>> standing.record_shown_version(9, now=6.0)
-    >>> standing.is_behind, standing.behind_s(7.0)
+    >>> tracker.record_shown_version(9, now=6.0)
+    >>> tracker.is_behind, tracker.behind_s(7.0)
     (False, 0.0)
-    >>> standing.record_held_version(9, now=1.0)
-    >>> standing.record_version_in_force(11, now=9.0)
-    >>> standing.is_outdated(9.5), standing.is_outdated(10.0)
+    >>> tracker.record_held_version(9, now=1.0)
+    >>> tracker.record_version_in_force(11, now=9.0)
+    >>> tracker.is_outdated(9.5), tracker.is_outdated(10.0)
     (False, True)
 
     A process that has just started, before and after a peer confirms its version:
 
-    >>> standing = ConfigVersionTracker()
-    >>> standing.record_held_version(7, now=1.0)
-    >>> standing.record_unverified(now=1.0)
-    >>> standing.is_unverified(2.9), standing.is_unverified(3.0)
+    >>> tracker = ConfigVersionTracker()
+    >>> tracker.record_held_version(7, now=1.0)
+    >>> tracker.record_unverified(now=1.0)
+    >>> tracker.is_unverified(2.9), tracker.is_unverified(3.0)
     (True, False)
-    >>> standing.record_peer_confirmation(7, now=1.1)
-    >>> standing.is_unverified(1.2)
+    >>> tracker.record_peer_confirmation(7, now=1.1)
+    >>> tracker.is_unverified(1.2)
     False
     """
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_engine_model.py
@@ -33,7 +33,7 @@
 TOKENS_PER_EVENT = 4.0
 """Initial value of the number of answer tokens in one event."""
 
-RATIO_WEIGHT = 0.05
+TOKENS_PER_EVENT_WEIGHT = 0.05
 """Weight of the newest complete answer in the tokens per event."""
 
 
@@ -130,9 +130,9 @@
             reading_s = self.first_token_s(upstream, tokens, now, is_short)
             self.fetch.learn(fetched, seconds - reading_s)
             return
-        line = self._first_token_model(is_short)
-        upstream.reading.learn(seconds / line.predict(tokens), now)
-        line.learn(tokens, seconds)
+        model = self._first_token_model(is_short)
+        upstream.reading.learn(seconds / model.predict(tokens), now)
+        model.learn(tokens, seconds)
         self.first_token.record_own_reading(own, seconds)
 
     def _reading_factor(self, upstream: Upstream, now: float) -> float:
@@ -158,4 +158,4 @@
         self.event.learn(running, event_s)
         if tokens:
             ratio = tokens / (events + 1)
-            self.tokens_per_event += RATIO_WEIGHT * (ratio - self.tokens_per_event)
+            self.tokens_per_event += TOKENS_PER_EVENT_WEIGHT * (ratio - self.tokens_per_event)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_linear.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_linear.py
@@ -9,7 +9,7 @@
 """Largest ratio of a sample to its prediction; larger samples are capped. A single request that was
 delayed by a crash or a full batch must not double the estimate for all."""
 
-SLOPE_RANGE = 50.0
+MAX_SLOPE_RATIO = 50.0
 """Largest ratio between the estimated and the initial slope, in both directions."""
 
 FACTOR_WEIGHT = 0.15
@@ -48,7 +48,7 @@
         self.offset = offset
         self.slope = slope
         self.span = span
-        self._bounds = (slope / SLOPE_RANGE, slope * SLOPE_RANGE)
+        self._bounds = (slope / MAX_SLOPE_RATIO, slope * MAX_SLOPE_RATIO)
         # Weighted sums of 1, x, y, x*x, x*y, with two artificial samples on the initial line.
         self._sums = [0.0] * 5
         for x in (0.0, span):
@@ -65,7 +65,7 @@
         self._add(x, seconds)
         count, sum_x, sum_y, sum_xx, sum_xy = self._sums
         spread = count * sum_xx - sum_x * sum_x
-        # Samples with the same x determine one point of the line, not its slope.
+        # Samples with (almost) the same x determine one point of the line, not its slope.
         if spread > 1e-6 * count * sum_xx:
             slope = (count * sum_xy - sum_x * sum_y) / spread
             self.slope = min(max(slope, self._bounds[0]), self._bounds[1])
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_load_relay.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_load_relay.py
@@ -199,13 +199,17 @@
             item for item, source in self._sources.items() if now - source.at > PEER_LOAD_EXPIRY_S
         ]:
             del self._sources[name]
-        near = _sum_shares(item.shares for item in self._sources.values() if item.is_near)
-        every = _sum_shares(
-            [near, *(item.shares for item in self._sources.values() if not item.is_near)]
+        local_shares = _sum_shares(item.shares for item in self._sources.values() if item.is_near)
+        all_shares = _sum_shares(
+            [local_shares, *(item.shares for item in self._sources.values() if not item.is_near)]
         )
         composed = {}
         for name, target in self._targets.items():
-            view = _subtract_source(every, self._sources.get(name)) if target.is_near else near
+            view = (
+                _subtract_source(all_shares, self._sources.get(name))
+                if target.is_near
+                else local_shares
+            )
             update = _compose(target, view, now)
             if update is not None:
                 composed[name] = update
@@ -216,9 +220,9 @@
         return self.compose_all(now).get(target)
 
 
-def _sum_shares(many: Iterable[Shares]) -> dict[str, LoadShare]:
+def _sum_shares(sources: Iterable[Shares]) -> dict[str, LoadShare]:
     total: dict[str, LoadShare] = {}
-    for shares in many:
+    for shares in sources:
         for upstream, share in shares.items():
             previous = total.get(upstream)
             total[upstream] = share if previous is None else _add_shares(previous, share)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_losses.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_losses.py
@@ -9,8 +9,9 @@
 period without failures after that says nothing of them."""
 
 COPY_COST_SHARE = 0.05
-"""Cost of a copy of a stream's memory, as a share of the value of the stream: the copy occupies
-memory at a second upstream and time on the links of both, which delays other prompts."""
+"""Cost of a copy of a stream's memory, as a share of the cost of losing the stream: a stream gets a
+copy if it loses its upstream at least with this probability. The copy occupies memory at a second
+upstream and time on the links of both, which delays other prompts."""
 
 
 class LossRate:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_outcome_ledger.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_outcome_relay.py
@@ -52,12 +52,12 @@
 
     Examples
     --------
-    >>> ledger = OutcomeRelay()
-    >>> ledger.set_recipients(near=["one", "two"], far=["relay"])
-    >>> ledger.receive_update("one", {"u": Outcomes(failed=1)}, is_near=True)
-    >>> ledger.has_failures("two"), ledger.has_failures("one")
+    >>> relay = OutcomeRelay()
+    >>> relay.set_recipients(near=["one", "two"], far=["relay"])
+    >>> relay.receive_update("one", {"u": Outcomes(failed=1)}, is_near=True)
+    >>> relay.has_failures("two"), relay.has_failures("one")
     (True, False)
-    >>> ledger.take("two")["u"].failed, ledger.take("two")
+    >>> relay.take("two")["u"].failed, relay.take("two")
     (1, {})
     """
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_placing.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_placing.py
@@ -36,8 +36,8 @@
 HOLDER_CANDIDATES = 3
 """Upstreams that one decision evaluates: the first ones in the preference order of the shared part,
 which differs between parts, and those that hold most of the prompt. More candidates hardly improve
-the result, and the time of a decision grows with each: small processes would notice late that a
-caller has disconnected."""
+the result, and the time of a decision grows with each: processes with little processor time
+would detect late that a caller has disconnected."""
 
 LARGE_FLEET_PROCESSES = 16
 PREFERRED_CANDIDATES_LARGE_FLEET = 3
@@ -52,11 +52,12 @@
 only happens where the matching upstreams are overloaded."""
 
 FALLBACK_CANDIDATES = 2
-"""Upstreams on the other side of the reservation that one decision evaluates."""
+"""Upstreams that one decision evaluates although they do not match the request: unreserved ones for
+a steady stream, reserved ones for any other request."""
 
 OLDEST_WAIT_SHARE = 0.5
-"""Share of the age of the oldest unanswered request that is the least predicted delay of a new one.
-"""
+"""Lower limit of the predicted delay of a new request, as a share of the age of the oldest
+unanswered request at the upstream."""
 
 
 @attrs.frozen
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_reading.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_reading.py
@@ -29,7 +29,7 @@
 """Least share of the fastest first tokens of long prompts that is reading. Without this limit the
 slope approaches zero when short prompts wait too."""
 
-SLOPE_RANGE = 10.0
+MAX_READING_SLOPE_RATIO = 10.0
 """Largest ratio between the estimated and the initial slope, in both directions: no accelerator in
 use reads outside this range."""
 
@@ -54,18 +54,18 @@
 
     Examples
     --------
-    >>> line = FirstTokenModel(0.03, 1 / 50_000)
+    >>> model = FirstTokenModel(0.03, 1 / 50_000)
     >>> for wait_s in [0.0, 0.3, 0.8, 2.0] * 10:
-    ...     line.record_own_reading(0, 0.1 + wait_s)
-    ...     line.record_own_reading(5000, 0.1 + 5000 / 40_000 + wait_s)
-    >>> round(1 / line.slope)
+    ...     model.record_own_reading(0, 0.1 + wait_s)
+    ...     model.record_own_reading(5000, 0.1 + 5000 / 40_000 + wait_s)
+    >>> round(1 / model.slope)
     40000
     """
 
     def __init__(self, offset: float, slope: float):
         self.offset = offset
         self.slope = slope
-        self._bounds = (slope / SLOPE_RANGE, slope * SLOPE_RANGE)
+        self._bounds = (slope / MAX_READING_SLOPE_RATIO, slope * MAX_READING_SLOPE_RATIO)
         self._fixed_s = offset
         self._short_s: deque[float] = deque(maxlen=SAMPLES_PER_SIZE)
         self._slopes: deque[float] = deque(maxlen=SAMPLES_PER_SIZE)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_steady_reservation.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_steady_reservation.py
@@ -110,14 +110,14 @@
     """Share of streams with a long pause, and whether it is too large, with hysteresis."""
 
     def __init__(self, weight: float, reserve_above: float, release_below: float):
-        self._rendezvous_weight = weight
+        self._newest_weight = weight
         self._reserve_above = reserve_above
         self._release_below = release_below
         self._share = 0.0
         self.active = False
 
     def record(self, is_long: bool) -> None:
-        self._share += self._rendezvous_weight * (is_long - self._share)
+        self._share += self._newest_weight * (is_long - self._share)
         self.active = self._share > (self._release_below if self.active else self._reserve_above)
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/_upstream_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ._outcome_ledger import Outcomes
+from ._outcome_relay import Outcomes
 
 SUSPEND_S = 0.5
 """First suspension of an upstream that could not be reached, seconds; doubles with each failure."""
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_config.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_config.py
@@ -88,25 +88,25 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 2), st.booleans()), max_size=200))
-def test_repeats_of_a_window_never_exceed_the_budget(steps):
+def test_retries_of_a_window_never_exceed_the_budget(steps):
     """Requests and retries arrive in any order.
 
     In each window, retries stay within the share of the requests of that window plus the burst.
     """
     window = RetryWindow(0.2, 2.0, 10.0)
     now = 0.0
-    requests, repeats = [], []
+    requests, retries = [], []
     for pause, is_request in steps:
         now += pause
         if is_request:
             window.record_request(now)
             requests.append(now)
         elif window.try_retry(now):
-            repeats.append(now)
+            retries.append(now)
             since = now - 10.0
             # Counts are kept in buckets, so a request may count for one bucket longer.
             counted = sum(1 for at in requests if at > since - 1.0)
-            assert sum(1 for at in repeats if at > since) <= 0.2 * counted + 2.0
+            assert sum(1 for at in retries if at > since) <= 0.2 * counted + 2.0
 
 
 def directory_of(route_priorities, organisation_priorities):
@@ -122,12 +122,12 @@
 
 
 def test_route_priority_decides_between_requests_of_equal_organisation_priority():
-    """All organisations have the same priority, which went before that of the routes.
+    """All organisations have the same priority.
 
-    Requests of an urgent route and of another one then had the same urgency except for their
-    length. When an engine ran out of memory, it preempted the newest requests, which were the
-    urgent ones: 55 of them in one burst, whose callers saw their streams stop while less urgent
-    ones continued.
+    If it took precedence over that of the routes, requests of an urgent route and of another one
+    would have the same urgency except for their length. An engine that runs out of memory preempts
+    the newest requests. These would be the urgent ones, 55 of them in one burst, and their callers
+    would see their streams stop while less urgent ones continue.
     """
     directory = directory_of((0, 1), (1, 1))
     organisation = directory.find_organisation("k0")
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_delayed_knowledge.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_delayed_knowledge.py
@@ -60,7 +60,7 @@
         self.rng = random.Random(seed)
         self.delay_ticks = round(delay_s / TICK_S)
         self.now = 0.0
-        self.books = [self._make_book() for _ in range(self.size)]
+        self.registries = [self._make_registry() for _ in range(self.size)]
         self.queues = [PromptQueue() for _ in range(self.size)]
         self.model = EngineModel()
         self.engines = {f"u{number}": deque() for number in range(self.size)}
@@ -68,14 +68,14 @@
         self.requests = 0
         self.in_time = 0
 
-    def _make_book(self):
+    def _make_registry(self):
         entries = [
             ListedUpstream(f"u{number}", "s", "h", 1, "a", 12, False, 1)
             for number in range(self.size)
         ]
-        book = UpstreamRegistry()
-        book.apply(UpstreamChanges(True, tuple(entries)), 0.0)
-        return book
+        registry = UpstreamRegistry()
+        registry.apply(UpstreamChanges(True, tuple(entries)), 0.0)
+        return registry
 
     def run(self):
         """Run a burst and the time until its end; return the share of requests in time."""
@@ -106,9 +106,11 @@
 
     def _exchange_loads(self):
         """Let each process receive the loads that the others had some time ago."""
-        self.history.append([{item.id: item.share() for item in book.all()} for book in self.books])
+        self.history.append(
+            [{item.id: item.share() for item in book.all()} for book in self.registries]
+        )
         received = self.history[0]
-        for me, book in enumerate(self.books):
+        for me, book in enumerate(self.registries):
             for upstream in book.all():
                 others = [received[other][upstream.id] for other in range(self.size) if other != me]
                 tokens = sum(share.tokens for share in others)
@@ -117,7 +119,7 @@
 
     def _start(self, process):
         queue = self.queues[process]
-        upstreams = self.books[process].of_service("s")
+        upstreams = self.registries[process].of_service("s")
         targets = ServiceTargets(TARGET_S, 1)
         for start in queue.take_starts(upstreams, self.model, targets, self.now):
             upstream, waiting = start.placement.upstream, start.waiting
@@ -140,10 +142,10 @@
 
     def _finish(self, name, sent):
         self.in_time += self.now + TICK_S <= sent.target_at
-        upstream = self.books[sent.process].find(name)
+        upstream = self.registries[sent.process].find(name)
         upstream.pending.remove(sent.call)
         upstream.outstanding -= 1
-        for book in self.books:
+        for book in self.registries:
             book.find(name).record_prompt_read(sent.prompt)
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_load_relay.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_load_relay.py
@@ -51,7 +51,7 @@
 
 
 def test_every_process_has_the_loads_of_all_others_after_some_ticks():
-    """Loads of peers were as old as complete answers, and many chose the same upstream."""
+    """With loads as old as complete answers, many processes would choose the same upstream."""
     rng = random.Random(3)
     fleet = Fleet(4, 5)
     for _ in range(60):
@@ -139,8 +139,8 @@
 def test_stalled_process_does_not_replace_its_relay():
     """A process gets no processor time for a second; messages of its relay are not read yet.
 
-    It replaced the relay, received no loads for seconds, and those that it sent meanwhile reached
-    no other process.
+    If it replaced the relay, it would receive no loads for seconds, and those that it sends
+    meanwhile would reach no other process.
     """
     watch = RelaySelector()
     assert choose_repeatedly(watch, 1.0, sending=["a"]) == "a"
@@ -158,7 +158,7 @@
 def test_update_of_a_part_includes_the_load_of_its_upstream():
     """A process reports that an upstream read a part, while its requests there are unchanged.
 
-    The update named the upstream without a load, and all other processes considered it idle.
+    If the update named the upstream without a load, all other processes would consider it idle.
     """
     relay = LoadRelay()
     relay.receive_update("one", {"u": LoadShare(500, 2)}, 0.0, is_near=True)
@@ -173,9 +173,9 @@
 def test_many_parts_are_sent_in_small_messages():
     """A process starts and receives thousands of prompt parts that upstreams hold.
 
-    In one message to each process of its failure domain, they filled the link of a small VM for a
-    second: connections to upstreams timed out, and callers disconnected before their answers
-    arrived.
+    In one message to each process of its failure domain, they would fill the link of a small VM
+    for a second: connections to upstreams would time out, and callers would disconnect before their
+    answers arrive.
     """
     relay = LoadRelay()
     relay.receive_update("one", {}, now=1.0, is_near=True)
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
@@ -423,9 +423,9 @@
 ):
     """Twenty requests wait for 26 upstreams, and five of them may start.
 
-    When all were placed again after each start, and evaluated at every upstream, a round took a
-    slow process tens of milliseconds, and callers that had disconnected were noticed a second
-    later.
+    If all were placed again after each start, and evaluated at every upstream, a round would take a
+    slow process tens of milliseconds, and it would detect a second late that callers have
+    disconnected.
     """
     upstreams = [make_upstream(f"u{number}") for number in range(26)]
     evaluated = []
@@ -455,8 +455,8 @@
 def test_fixed_time_of_each_prompt_does_not_count_as_reading(upstreams):
     """The first event of an answer holds several tokens and takes a tenth of a second to generate.
 
-    When this counted as reading, prompts seemed two and a half times as long, and they waited in
-    the queue while engines had time: 193 long prompts of a day were late instead of 114.
+    If this counted as reading, prompts would seem two and a half times as long and wait in the
+    queue while engines have time: 193 long prompts of a day would be late instead of 114.
     """
     model = EngineModel()
     rng = random.Random(5)
@@ -484,9 +484,10 @@
     """More prompts arrive than the engines can read, and each waits seconds for a place there.
 
     The time to the first token then hardly depends on the tokens, and a line fitted to all of it
-    was flat: reading seemed to take no time, prompts of 11,526 tokens counted as short and overtook
-    all others, and every process sent all its prompts at once. Engines with 64 places ran 118
-    requests; of 13,355 sends 3,754 were returned, and a third of the streams did not end in time.
+    would be flat: reading would seem to take no time, prompts of 11,526 tokens would count as short
+    and overtake all others, and every process would send all its prompts at once. Engines with 64
+    places would run 118 requests; of 13,355 sends 3,754 would be returned, and a third of the
+    streams would not end in time.
     """
     read_s = 4000 / 50_000
     long_after = 1000.0
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/once_cluster.py
@@ -511,7 +511,7 @@
     def _read(self, key: str):
         return self.run(ClaimStore(self.table, self.objects).read(ORGANISATION, key)).ok()
 
-    def heal(self) -> None:
+    def run_without_faults(self) -> None:
         """Open all gates without faults until nothing waits."""
         for slot in range(len(self.slots)):
             self.restore_in_time(slot)
@@ -522,7 +522,7 @@
                 self.inject_late_write(0)
 
     def check_rows(self) -> None:
-        """Check that only crashes leave rows in state running after :meth:`heal`.
+        """Check that only crashes leave rows in state running after :meth:`run_without_faults`.
 
         A claim that the table executes a day late, after its row expired, has no effect but leaves
         a row in state running. Such histories are not checked.
@@ -606,6 +606,7 @@
     gate.future.set_result("refused")
 
 
+# An action that is listed several times is chosen more often.
 GATE_ACTIONS = {
     "table": (
         _execute,
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_membership.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_membership.py
@@ -18,54 +18,54 @@
 
 
 @pytest.fixture
-def book():
-    book = MembershipTracker("e1")
-    book.update_list([slot(number) for number in range(12)], 0.0)
-    return book
+def tracker():
+    tracker = MembershipTracker("e1")
+    tracker.update_list([slot(number) for number in range(12)], 0.0)
+    return tracker
 
 
-def connect_all(book, now, incarnation="a"):
-    for entry in book.targets(GROUP, now):
-        book.connected(entry.vm, f"{entry.vm}-{incarnation}", now)
+def connect_all(tracker, now, incarnation="a"):
+    for entry in tracker.targets(GROUP, now):
+        tracker.connected(entry.vm, f"{entry.vm}-{incarnation}", now)
 
 
 def names(entries):
     return {entry.vm for entry in entries}
 
 
-def test_subset_is_stable_while_vms_are_added_and_removed(book):
-    before = names(book.targets(GROUP, 0.0))
+def test_subset_is_stable_while_vms_are_added_and_removed(tracker):
+    before = names(tracker.targets(GROUP, 0.0))
     assert len(before) == 4
     others = [slot(number) for number in range(12) if f"s{number}" not in before]
-    book.update_list([slot(number) for number in range(12) if slot(number) != others[0]], 1.0)
-    assert names(book.targets(GROUP, 1.0)) == before
-    book.update_list([slot(number) for number in range(13)], 2.0)
-    assert len(before & names(book.targets(GROUP, 2.0))) >= 3
+    tracker.update_list([slot(number) for number in range(12) if slot(number) != others[0]], 1.0)
+    assert names(tracker.targets(GROUP, 1.0)) == before
+    tracker.update_list([slot(number) for number in range(13)], 2.0)
+    assert len(before & names(tracker.targets(GROUP, 2.0))) >= 3
 
 
-def test_empty_list_keeps_connected_slots(book):
+def test_empty_list_keeps_connected_slots(tracker):
     """The platform's list lags or is empty after an outage. Connected slots stay in use; one whose
     connection ends as well is removed.
     """
-    before = names(book.targets(GROUP, 0.0))
-    connect_all(book, 0.0)
-    book.update_list([], 1.0)
-    assert names(book.targets(GROUP, 1.0)) == before
+    before = names(tracker.targets(GROUP, 0.0))
+    connect_all(tracker, 0.0)
+    tracker.update_list([], 1.0)
+    assert names(tracker.targets(GROUP, 1.0)) == before
     gone = min(before)
-    book.disconnected(gone, f"{gone}-a", 2.0)
-    assert names(book.targets(GROUP, 2.0)) == before - {gone}
+    tracker.disconnected(gone, f"{gone}-a", 2.0)
+    assert names(tracker.targets(GROUP, 2.0)) == before - {gone}
 
 
 @pytest.mark.parametrize("source", ["list", "slot"])
-def test_shutdown_report_of_list_or_slot_is_sufficient(book, source):
+def test_shutdown_report_of_list_or_slot_is_sufficient(tracker, source):
     """A VM shuts down. The list may show it long after the slot reported it, or the slot may not
     report it. In both cases the slot gets no new work, and another slot is used instead.
     """
-    connect_all(book, 0.0)
-    vm = min(names(book.targets(GROUP, 0.0)))
+    connect_all(tracker, 0.0)
+    vm = min(names(tracker.targets(GROUP, 0.0)))
     if source == "list":
         entries = [slot(number) for number in range(12)]
-        change = book.update_list(
+        change = tracker.update_list(
             [
                 attrs.evolve(entry, state=VmState.LEAVING) if entry.vm == vm else entry
                 for entry in entries
@@ -74,60 +74,60 @@
         )
         assert change.leaving == (vm,)
     else:
-        book.record_leaving(vm, f"{vm}-a", 1.0)
-    assert not book.usable(vm, 1.0)
-    assert vm not in names(book.targets(GROUP, 1.0))
-    assert len(book.targets(GROUP, 1.0)) == 4
-
-
-def test_shutdown_report_applies_to_one_incarnation(book):
-    connect_all(book, 0.0)
-    vm = min(names(book.targets(GROUP, 0.0)))
-    book.record_leaving(vm, f"{vm}-a", 1.0)
-    book.connected(vm, f"{vm}-b", 2.0)
-    assert book.usable(vm, 2.0)
+        tracker.record_leaving(vm, f"{vm}-a", 1.0)
+    assert not tracker.usable(vm, 1.0)
+    assert vm not in names(tracker.targets(GROUP, 1.0))
+    assert len(tracker.targets(GROUP, 1.0)) == 4
+
+
+def test_shutdown_report_applies_to_one_incarnation(tracker):
+    connect_all(tracker, 0.0)
+    vm = min(names(tracker.targets(GROUP, 0.0)))
+    tracker.record_leaving(vm, f"{vm}-a", 1.0)
+    tracker.connected(vm, f"{vm}-b", 2.0)
+    assert tracker.usable(vm, 2.0)
     # The end of the old connection is detected late and must not affect the new one.
-    book.disconnected(vm, f"{vm}-a", 3.0)
-    assert book.usable(vm, 3.0)
-    assert book.incarnation(vm) == f"{vm}-b"
-    book.record_leaving(vm, f"{vm}-a", 4.0)
-    assert book.usable(vm, 4.0)
+    tracker.disconnected(vm, f"{vm}-a", 3.0)
+    assert tracker.usable(vm, 3.0)
+    assert tracker.incarnation(vm) == f"{vm}-b"
+    tracker.record_leaving(vm, f"{vm}-a", 4.0)
+    assert tracker.usable(vm, 4.0)
 
 
-def test_replacement_on_the_same_address_is_not_its_predecessor(book):
+def test_replacement_on_the_same_address_is_not_its_predecessor(tracker):
     """A VM is replaced and its address is reused. The entry dials the old VM, and the new one
     answers with its own name, which is not listed yet: the connection is not used.
     """
-    assert not book.connected("t3", "t3-a", 1.0)
-    assert not book.usable("t3", 1.0)
+    assert not tracker.connected("t3", "t3-a", 1.0)
+    assert not tracker.usable("t3", 1.0)
     entries = [slot(number) for number in range(12) if number != 3]
-    book.update_list([*entries, attrs.evolve(slot(3), vm="t3")], 2.0)
-    assert book.connected("t3", "t3-a", 2.0)
-    assert book.usable("t3", 2.0)
-    assert not book.usable("s3", 2.0)
+    tracker.update_list([*entries, attrs.evolve(slot(3), vm="t3")], 2.0)
+    assert tracker.connected("t3", "t3-a", 2.0)
+    assert tracker.usable("t3", 2.0)
+    assert not tracker.usable("s3", 2.0)
 
 
-def test_failed_domain_is_replaced_until_it_recovers(book):
+def test_failed_domain_is_replaced_until_it_recovers(tracker):
     """A failure domain fails while the list still shows it. Slots of the other domains are used
     after a few seconds, and the fixed subset is in use again when the domain recovers.
     """
-    connect_all(book, 0.0)
-    fixed = names(book.targets(GROUP, 0.0))
+    connect_all(tracker, 0.0)
+    fixed = names(tracker.targets(GROUP, 0.0))
     domain = "praha-hall"
     lost = {f"s{number}" for number in range(12) if DOMAINS[number % 3] == domain}
     assert fixed & lost
     for vm in fixed & lost:
-        book.disconnected(vm, f"{vm}-a", 10.0)
-    assert names(book.targets(GROUP, 10.5)) == fixed
+        tracker.disconnected(vm, f"{vm}-a", 10.0)
+    assert names(tracker.targets(GROUP, 10.5)) == fixed
     for now in (14.0, 18.0, 22.0):
-        for vm in names(book.targets(GROUP, now)) & lost:
-            book.connect_failed(vm, now)
-    chosen = names(book.targets(GROUP, 26.0))
+        for vm in names(tracker.targets(GROUP, now)) & lost:
+            tracker.connect_failed(vm, now)
+    chosen = names(tracker.targets(GROUP, 26.0))
     assert fixed <= chosen
     assert len(chosen - lost) == 4
     for vm in fixed & lost:
-        book.connected(vm, f"{vm}-b", 30.0)
-    assert names(book.targets(GROUP, 30.0)) == fixed
+        tracker.connected(vm, f"{vm}-b", 30.0)
+    assert names(tracker.targets(GROUP, 30.0)) == fixed
 
 
 def test_reconnects_to_a_recovered_domain_are_spread():
@@ -136,23 +136,23 @@
     """
     due = []
     for number in range(100):
-        book = MembershipTracker(f"e{number}")
+        tracker = MembershipTracker(f"e{number}")
         rng = random.Random(number)
-        book.update_list([slot(0)], 0.0)
+        tracker.update_list([slot(0)], 0.0)
         for attempt in range(10):
-            book.connect_failed("s0", float(attempt))
-        due.append(book.reconnect_delay("s0", rng, 10.0))
+            tracker.connect_failed("s0", float(attempt))
+        due.append(tracker.reconnect_delay("s0", rng, 10.0))
     assert max(due) <= 5.0
     busiest = max(sum(start <= wait < start + 0.5 for wait in due) for start in range(5))
     assert busiest <= 25
 
 
-def test_slot_that_closes_immediately_is_dialled_with_a_delay(book):
+def test_slot_that_closes_immediately_is_dialled_with_a_delay(tracker):
     rng = random.Random(1)
     for attempt in range(8):
-        book.connected("s1", f"s1-{attempt}", float(attempt))
-        book.disconnected("s1", f"s1-{attempt}", attempt + 0.01)
-    assert sum(book.reconnect_delay("s1", rng, 9.0) for _ in range(50)) / 50 > 1.5
-    book.connected("s1", "s1-x", 10.0)
-    book.disconnected("s1", "s1-x", 20.0)
-    assert book.reconnect_delay("s1", rng, 20.0) <= 0.2
+        tracker.connected("s1", f"s1-{attempt}", float(attempt))
+        tracker.disconnected("s1", f"s1-{attempt}", attempt + 0.01)
+    assert sum(tracker.reconnect_delay("s1", rng, 9.0) for _ in range(50)) / 50 > 1.5
+    tracker.connected("s1", "s1-x", 10.0)
+    tracker.disconnected("s1", "s1-x", 20.0)
+    assert tracker.reconnect_delay("s1", rng, 20.0) <= 0.2
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_machine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_machine.py
@@ -67,7 +67,7 @@
 
     def teardown(self):
         try:
-            self.cluster.heal()
+            self.cluster.run_without_faults()
             if self.checks_rows:
                 self.cluster.check_rows()
         finally:
@@ -164,7 +164,7 @@
     for _ in range(4):
         cluster.open_first(("slot", 1))
     cluster.sweep()
-    cluster.heal()
+    cluster.run_without_faults()
     cluster.close()
 
 
@@ -180,7 +180,7 @@
     assert cluster.oracle.effects.total() == 1
     cluster.now += RETENTION_S + 1.0
     cluster.sweep()
-    cluster.heal()
+    cluster.run_without_faults()
     assert cluster.oracle.calls[0].reported == "unknown"
     cluster.close()
 
@@ -197,6 +197,6 @@
     assert cluster.oracle.calls[0].reported == "not_run"
     cluster.now += RETENTION_S + 1.0
     cluster.sweep()
-    cluster.heal()
+    cluster.run_without_faults()
     assert cluster.oracle.effects.total() == 0
     cluster.close()
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_placement.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_placement.py
@@ -86,7 +86,7 @@
         {"step_s": 0.01, "outstanding": 1},
     ],
 )
-def test_scored_prefers_each_good_property(better):
+def test_scored_prefers_upstream_that_is_better_in_one_property(better):
     request = attrs.evolve(REQUEST, prefix_blocks=8)
     worse = {"outstanding": 1, "failure_domain": "kolin-hall", "step_s": 0.02}
     candidates = [candidate(0, **{**worse, **better}), candidate(1, **worse)]
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_quarantine.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_quarantine.py
@@ -7,97 +7,102 @@
 
 
 @pytest.fixture
-def book():
+def tracker():
     return QuarantineTracker(retention_s=100.0)
 
 
-def verdicts(book, digests, now=0.0):
-    return [book.verdict(digest, now).value for digest in digests]
+def verdicts(tracker, digests, now=0.0):
+    return [tracker.verdict(digest, now).value for digest in digests]
 
 
-def test_second_crash_quarantines_the_only_suspect(book):
+def test_second_crash_quarantines_the_only_suspect(tracker):
     """A request crashes each upstream that runs it, and its caller retries it.
 
     Without quarantine it would crash one upstream after the other, and the requests beside it.
     """
-    book.record_crash(["poison", "a", "b"], 0.0)
-    assert verdicts(book, ["poison", "a", "b", "c"]) == ["suspect"] * 3 + ["clear"]
-    book.record_crash(["poison", "c"], 1.0)
-    assert verdicts(book, ["poison", "a", "b", "c"]) == ["quarantined", "clear", "clear", "clear"]
-
-
-def test_third_crash_decides_between_two_suspects_that_ran_together(book):
-    book.record_crash(["poison", "a"], 0.0)
-    book.record_crash(["poison", "a"], 1.0)
-    assert verdicts(book, ["poison", "a"]) == ["suspect", "suspect"]
-    book.record_crash(["poison", "b"], 2.0)
-    assert verdicts(book, ["poison", "a", "b"]) == ["quarantined", "clear", "clear"]
-
-
-def test_wrongly_quarantined_request_is_cleared_when_the_cause_is_found(book):
+    tracker.record_crash(["poison", "a", "b"], 0.0)
+    assert verdicts(tracker, ["poison", "a", "b", "c"]) == ["suspect"] * 3 + ["clear"]
+    tracker.record_crash(["poison", "c"], 1.0)
+    assert verdicts(tracker, ["poison", "a", "b", "c"]) == [
+        "quarantined",
+        "clear",
+        "clear",
+        "clear",
+    ]
+
+
+def test_third_crash_decides_between_two_suspects_that_ran_together(tracker):
+    tracker.record_crash(["poison", "a"], 0.0)
+    tracker.record_crash(["poison", "a"], 1.0)
+    assert verdicts(tracker, ["poison", "a"]) == ["suspect", "suspect"]
+    tracker.record_crash(["poison", "b"], 2.0)
+    assert verdicts(tracker, ["poison", "a", "b"]) == ["quarantined", "clear", "clear"]
+
+
+def test_wrongly_quarantined_request_is_cleared_when_the_cause_is_found(tracker):
     """An innocent request runs beside each of two bad requests when they crash an upstream."""
-    book.record_crash(["first", "innocent"], 0.0)
-    book.record_crash(["second", "innocent"], 1.0)
-    assert book.verdict("innocent", 1.0) is Verdict.QUARANTINED
-    book.record_crash(["first"], 2.0)
-    book.record_crash(["first"], 3.0)
-    assert verdicts(book, ["first", "innocent"], 3.0) == ["quarantined", "suspect"]
-
-
-def test_completed_request_is_cleared(book):
-    book.record_crash(["poison", "a"], 0.0)
-    report = book.suspicions(0.0)
-    book.record_completion("a", 1.0)
-    assert book.merge(report, 1.0) == []
-    assert verdicts(book, ["poison", "a"], 1.0) == ["suspect", "clear"]
-
-
-def test_suspicions_expire_and_can_be_withdrawn(book):
-    book.record_crash(["poison"], 0.0)
-    book.record_crash(["poison"], 50.0)
-    assert book.verdict("poison", 149.0) is Verdict.QUARANTINED
-    assert book.verdict("poison", 150.0) is Verdict.CLEAR
-    assert book.suspicions(150.0) == []
-    book.record_crash(["poison"], 200.0)
-    book.record_crash(["poison"], 201.0)
-    report = book.suspicions(201.0)
-    book.withdraw("poison", 202.0)
-    assert book.merge(report, 203.0) == []
-    assert book.verdict("poison", 203.0) is Verdict.CLEAR
-
-
-def test_merge_keeps_the_larger_counts_and_returns_changes(book):
-    book.record_crash(["poison"], 0.0)
-    assert book.merge([Suspicion("poison", 1, 1, 100.0)], 0.0) == []
-    assert book.merge([Suspicion("old", 2, 1, 0.0)], 0.0) == []
+    tracker.record_crash(["first", "innocent"], 0.0)
+    tracker.record_crash(["second", "innocent"], 1.0)
+    assert tracker.verdict("innocent", 1.0) is Verdict.QUARANTINED
+    tracker.record_crash(["first"], 2.0)
+    tracker.record_crash(["first"], 3.0)
+    assert verdicts(tracker, ["first", "innocent"], 3.0) == ["quarantined", "suspect"]
+
+
+def test_completed_request_is_cleared(tracker):
+    tracker.record_crash(["poison", "a"], 0.0)
+    report = tracker.suspicions(0.0)
+    tracker.record_completion("a", 1.0)
+    assert tracker.merge(report, 1.0) == []
+    assert verdicts(tracker, ["poison", "a"], 1.0) == ["suspect", "clear"]
+
+
+def test_suspicions_expire_and_can_be_withdrawn(tracker):
+    tracker.record_crash(["poison"], 0.0)
+    tracker.record_crash(["poison"], 50.0)
+    assert tracker.verdict("poison", 149.0) is Verdict.QUARANTINED
+    assert tracker.verdict("poison", 150.0) is Verdict.CLEAR
+    assert tracker.suspicions(150.0) == []
+    tracker.record_crash(["poison"], 200.0)
+    tracker.record_crash(["poison"], 201.0)
+    report = tracker.suspicions(201.0)
+    tracker.withdraw("poison", 202.0)
+    assert tracker.merge(report, 203.0) == []
+    assert tracker.verdict("poison", 203.0) is Verdict.CLEAR
+
+
+def test_merge_keeps_the_larger_counts_and_returns_changes(tracker):
+    tracker.record_crash(["poison"], 0.0)
+    assert tracker.merge([Suspicion("poison", 1, 1, 100.0)], 0.0) == []
+    assert tracker.merge([Suspicion("old", 2, 1, 0.0)], 0.0) == []
     worse = Suspicion("poison", 2, 1, 90.0)
-    assert book.merge([worse], 0.0) == [worse]
-    assert book.suspicions(0.0) == [Suspicion("poison", 2, 1, 100.0)]
+    assert tracker.merge([worse], 0.0) == [worse]
+    assert tracker.suspicions(0.0) == [Suspicion("poison", 2, 1, 100.0)]
 
 
 @given(
     st.lists(st.lists(st.integers(0, 9), min_size=1, max_size=4, unique=True), max_size=8),
     st.sets(st.integers(0, 7)),
 )
-def test_only_the_bad_request_is_quarantined_after_two_crashes(concurrent_runs, late_reports):
+def test_only_the_bad_request_is_quarantined_after_two_crashes(concurrent_runs, runs_before_report):
     """The bad request is sent repeatedly, each time beside others.
 
-    `late_reports` are the runs in which other suspects take part because the report of the crash
-    had not reached the entry.
+    In `runs_before_report`, the entry has not yet received the report of the crash, and other
+    suspects take part.
     """
-    book = QuarantineTracker(retention_s=1000.0)
+    tracker = QuarantineTracker(retention_s=1000.0)
     alone = 0
     for turn, others in enumerate(concurrent_runs):
-        if book.verdict("poison", turn) is Verdict.QUARANTINED:
+        if tracker.verdict("poison", turn) is Verdict.QUARANTINED:
             break
         names = [f"d{number}" for number in others]
-        if turn not in late_reports:
-            names = [name for name in names if book.verdict(name, turn) is Verdict.CLEAR]
-        suspects = [name for name in names if book.verdict(name, turn) is Verdict.SUSPECT]
+        if turn not in runs_before_report:
+            names = [name for name in names if tracker.verdict(name, turn) is Verdict.CLEAR]
+        suspects = [name for name in names if tracker.verdict(name, turn) is Verdict.SUSPECT]
         alone += not suspects and (turn > 0 or not names)
-        book.record_crash(["poison", *names], float(turn))
+        tracker.record_crash(["poison", *names], float(turn))
         assert all(
-            book.verdict(f"d{number}", turn) is not Verdict.QUARANTINED for number in range(10)
+            tracker.verdict(f"d{number}", turn) is not Verdict.QUARANTINED for number in range(10)
         )
-        named = book.verdict("poison", turn) is Verdict.QUARANTINED
+        named = tracker.verdict("poison", turn) is Verdict.QUARANTINED
         assert named == (turn > 0 and alone > 0)
