--- a/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_call_runner.py
@@ -53,10 +53,10 @@
     timers,
 )
 
-MAX_SETTLE_READS = 4
+MAX_OUTCOME_READS = 4
 """Limit on the reads of an attempt's claim row while the attempt may still be running."""
 
-SETTLE_READ_INTERVAL_S = 0.25
+OUTCOME_READ_INTERVAL_S = 0.25
 """Time between two of these reads, seconds."""
 
 
@@ -230,7 +230,7 @@
         now = self.clock.now()
         error = RequestError(event.kind, event.detail)
         if event.kind is ErrorKind.CLAIM_LOST:
-            return await self._settle(call, dispatcher, error, claim_lost=True)
+            return await self._determine_outcome(call, dispatcher, error, claim_lost=True)
         dispatcher.record_refusal(call, event.kind, now)
         self._retry_or_fail(call, dispatcher, error, certainly_not_run=True)
         return []
@@ -244,7 +244,7 @@
         dispatcher.health.observe_failure(call.link.vm, self.clock.now())
         error = RequestError(event.kind, event.detail)
         if not call.spec.idempotent:
-            return await self._settle(call, dispatcher, error)
+            return await self._determine_outcome(call, dispatcher, error)
         self._retry_or_fail(call, dispatcher, error)
         return []
 
@@ -292,7 +292,7 @@
             raise call.make_error(ErrorKind.QUARANTINED, f"digest {call.spec.digest}")
         call.apart = verdict is Verdict.SUSPECT
 
-    async def _settle(
+    async def _determine_outcome(
         self,
         call: Call,
         dispatcher: GroupDispatcher,
@@ -300,11 +300,11 @@
         claim_lost: bool = False,
     ) -> list[AnswerItem]:
         """Read the outcome of an attempt from its claim row, and continue accordingly."""
-        for remaining in reversed(range(MAX_SETTLE_READS)):
+        for remaining in reversed(range(MAX_OUTCOME_READS)):
             settled = await self.resolver.settle(call.ticket, self.clock.wall, claim_lost)
             if settled.state is not SettledState.IN_PROGRESS or not remaining:
                 break
-            await asyncio.sleep(SETTLE_READ_INTERVAL_S)
+            await asyncio.sleep(OUTCOME_READ_INTERVAL_S)
         return self._apply_settled(call, dispatcher, settled, error)
 
     def _apply_settled(
--- a/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_dispatcher.py
@@ -39,7 +39,7 @@
 PAUSING_KINDS = frozenset({"engine"})
 """Kinds of upstream that can pause a request.
 
-An entry cannot read this from the upstream clients, since it does not depend on them.
+They are listed here because entries do not depend on the upstream clients, which define them.
 """
 
 PREFIX_BLOCKS_PER_VM = 2048
--- a/packages/burdockquay-transport/src/burdockquay_transport/_events.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_events.py
@@ -52,8 +52,8 @@
 """Names of fields that would hold a secret or the content of a request."""
 
 LINE_FIELDS = frozenset({"time", "level", "event", "name"})
-"""Fields that every line has. An event field of the same name would replace them: with the urgency
-of a request as their level, lines about sends were not found by any filter by level."""
+"""Fields that every line has. An event field of the same name would replace them: if lines
+about sends had the urgency of the request as ``level``, no filter by level would find them."""
 
 _REFUSED_FIELDS = FORBIDDEN_FIELDS | LINE_FIELDS
 
--- a/packages/burdockquay-transport/src/burdockquay_transport/_metrics.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_metrics.py
@@ -27,7 +27,7 @@
 
 MAX_SAMPLES = 20
 """Limit on the samples of one timer per flush; with four timers in each of four classes and 60
-bytes per sample that is 1.9 kB a second, within what a node may spend on control."""
+bytes per sample that is 1.9 kB a second, within the limit on the control traffic of a node."""
 
 MAX_NAMES = 5000
 """Limit on the names in a sink between two flushes; further ones are counted and dropped."""
--- a/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_peer.py
@@ -63,7 +63,7 @@
 """Idle time of a connection after which a heartbeat is sent, seconds."""
 
 RECEIVE_TIMEOUT_S = 6.5
-"""Receive timeout after which a connection is aborted, seconds."""
+"""Time without any received data after which a connection is aborted, seconds."""
 
 
 @attrs.frozen
--- a/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
@@ -18,7 +18,7 @@
 
 
 class SuspicionExchange:
-    """Quarantine book of a process, kept in sync with its peers and the table.
+    """Exchanges suspicions of requests with the peers of a process and the table.
 
     Parameters
     ----------
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_connections.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_connections.py
@@ -20,7 +20,8 @@
 while another upstream can be reached within a few milliseconds."""
 
 STALL_MARGIN_S = 0.1
-"""Time beyond the connect timeout from which on this process must have stalled, seconds."""
+"""A connection attempt that fails this much later than the connect timeout shows that this process
+stalled, seconds."""
 
 LIVENESS_TIMEOUT_S = 0.2
 """Longest wait for a connection when checking an upstream that broke off an answer, seconds: many
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_dispatch.py
@@ -46,7 +46,7 @@
 MAX_WAIT_SILENCE_SHARE = 0.6
 MAX_WAIT_PATIENCE_SHARE = 0.33
 """Shares of the longest silence that callers accept, and of their patience, after which a request
-that has not started is refused: its caller can still retry in time for a late answer."""
+that has not started is refused, so that its caller has time to retry and get an answer, if late."""
 
 
 class PromptDispatcher:
@@ -161,12 +161,11 @@
     def evaluate(self) -> None:
         """Start the calls that may start, and refuse those that have waited too long.
 
-        After a recent evaluation, this is done at the end of a pause. A few dozen peers send a
-        hundred updates of upstreams per second, and each may allow a call to start. An evaluation
-        takes longer the longer the queue is. Without a pause, a slow process under load did nothing
-        else: it noticed only seconds later that callers had disconnected, and engines processed
-        requests that nobody waited for. The pause is therefore a multiple of the duration of the
-        last evaluation.
+        Successive evaluations are separated by a pause, a multiple of the duration of the last one.
+        A few dozen peers send a hundred updates of upstreams per second, each of which may allow a
+        call to start, and an evaluation takes longer the longer the queue is. Without the pause, a
+        slow process under load would do nothing else: it would detect seconds late that callers
+        have disconnected, and engines would process requests that nobody waits for.
         """
         if not len(self.queue):
             return
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_following.py
@@ -26,8 +26,8 @@
 FIRST_RETRY_PAUSE_S = 0.05
 MAX_RETRY_PAUSE_S = 0.6
 """Pauses after failed queries, seconds: doubled from the first to the longest, with jitter. API
-keys are honoured for 3.6 s (of 5 s) after the last answer, so that some queries fit in before that
-time ends."""
+keys are honoured for 3.6 s after the last answer (``LEASE_SHARE`` of the 5 s allowed for a
+withdrawal), so that some queries fit in before that time ends."""
 
 BATCH_PAUSE_S = 0.1
 """Pause after a change of the upstreams before the next query, seconds: when many start or shut
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_ingress.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_ingress.py
@@ -42,8 +42,9 @@
 one, so that no request is sent on a connection that is being closed."""
 
 ANSWER_WRITE_S = 0.1
-"""Time to write an answer that is ready, seconds; what a slow reader has not received by then is in
-the buffer of the connection."""
+"""Time for which a process that shuts down waits until answers that are ready are written to their
+connections, seconds; what a slow reader has not received by then is in the buffer of the
+connection."""
 
 UNFINISHED_POLL_S = 0.02
 """Poll interval for connections with unfinished requests once no answer is being written,
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_load_sharing.py
@@ -49,10 +49,10 @@
 relay."""
 
 MAX_INITIAL_PARTS_FROM_NEW = 200
-"""Most prompt parts sent by a process that is new itself: all others seem new to it, and have
-received as many parts as it has."""
+"""Most prompt parts sent to a new peer by a process that is new itself: it takes every peer for
+new, although the peers have received as many parts as it has."""
 
-ELSEWHERE = "elsewhere"
+RELAY_SUM_SOURCE = "elsewhere"
 """Source name of the loads that a relay adds up for this process."""
 
 Post = Callable[[Iterable[PeerConnection], Any], None]
@@ -219,7 +219,7 @@
         """Apply the loads of all other processes as added up by a relay."""
         self._near_watch.record_relay_message(peer.peer.incarnation, self.state.clock.now())
         if peer.peer.incarnation == self._chosen_relay:
-            self._apply(ELSEWHERE, message.loads, message.is_whole)
+            self._apply(RELAY_SUM_SOURCE, message.loads, message.is_whole)
 
     def _choose_relay(self, now: float) -> None:
         me = self.identity.incarnation
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_member_book.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_member_book.py
@@ -16,7 +16,10 @@
 
 @attrs.frozen
 class _Unconfirmed:
-    """A member that a copy lacks or shows differently; ``shown`` applies from ``until`` on."""
+    """A member that the restored store lacks or shows differently.
+
+    From ``until`` on, ``shown``, the state in the store, applies instead of the known one.
+    """
 
     shown: Member | None
     until: float
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_peers.py
@@ -68,8 +68,8 @@
 
 MEMBERS_BATCH_PAUSE_S = 1.0
 """Pause after a change of the members before the next query, seconds. When all processes start at
-the same time, each would otherwise query once for each other process. A process that is connected a
-second later can still serve."""
+the same time, each would otherwise query once for each other process. The delay is
+harmless: a process that is connected a second later can still serve."""
 
 RETRY_PAUSES_S = (0.2, 5.0)
 """First and longest pause between two attempts to reach a peer or the members, seconds."""
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_relay.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/_relay.py
@@ -45,7 +45,7 @@
 
 ATTEMPT_PATIENCE_SHARE = 0.5
 """Share of the remaining time that one upstream has to answer a plain request which can still be
-retried at another, so that an upstream that hangs does not use up the time of both."""
+retried at another, so that an upstream that hangs leaves time for the retry."""
 
 MIN_ATTEMPT_S = 0.25
 """Lower limit of that time, seconds; about ten times the duration of a plain request."""
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_dispatch.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_dispatch.py
@@ -113,8 +113,8 @@
 ):
     """Twenty requests wait, and an update of the upstreams is received every millisecond.
 
-    When each update caused an evaluation, a slow process did nothing else, and engines continued to
-    run requests of callers that had disconnected seconds before.
+    If each update caused an evaluation, a slow process would do nothing else, and engines would
+    continue to run requests of callers that disconnected seconds before.
     """
     upstream.pending.add("other", 50_000, dispatcher.clock.now())
     waiting = [asyncio.create_task(dispatcher.start(make_call())) for _ in range(20)]
@@ -151,8 +151,8 @@
 def test_evaluations_are_rescheduled_on_the_event_loop_of_the_daemons(dispatcher, upstream):
     """A change occurs while a later evaluation is scheduled, on a uvloop event loop.
 
-    Its timer handles have fewer methods than those of the standard library; requests failed with an
-    internal error.
+    Its timer handles have fewer methods than those of the standard library. If one of the missing
+    methods were called, requests would fail with an internal error.
     """
 
     async def wait_twice():
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
@@ -264,7 +264,7 @@
     assert (store.reads, store.waits) == (1, 4)
 
 
-async def test_trouble_lasts_until_the_first_answer_after_it(feed, store):
+async def test_failure_lasts_until_the_first_answer_after_it(feed, store):
     """A process queries again seconds after the store failed; entries may just have expired."""
     pending = asyncio.create_task(feed.next(1.0))
     await asyncio.sleep(0.01)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_end_to_end.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_end_to_end.py
@@ -27,8 +27,8 @@
 async def test_streamed_chat_answers_do_not_mix(deployment):
     """Thirty streams wait for eight places at once.
 
-    Their class has a long patience here: when the process stalled for five seconds, streams were
-    refused as not run, which is correct but not the subject of this test.
+    Their class has a long patience here: otherwise streams would be refused as not run when the
+    process stalls for five seconds, which is correct but not the subject of this test.
     """
     async with deployment() as running:
         patient = ClassRecord("draft", 10, 2.0, 0.1, PATIENT_S, 0.3)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_failures.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_failures.py
@@ -173,7 +173,7 @@
         assert running.slots[0].describe()["protected_shed"] == 0
 
 
-async def test_poison_request_is_quarantined_and_its_neighbours_are_not(deployment):
+async def test_request_that_crashes_engines_is_quarantined_and_concurrent_ones_are_not(deployment):
     """One request crashes each engine that runs it, and its caller keeps repeating it.
 
     It is refused after it has crashed a few engines. Requests that ran concurrently with it get
