--- a/benchmarks/bench_era.py
+++ b/benchmarks/bench_era.py
@@ -23,7 +23,7 @@
 
 from burdockquay_platform.tests.era_simulation import EraOutcome, StoreScenario, simulate_era
 
-FEEDS = (4, 30, 100)
+FORWARDER_COUNTS = (4, 30, 100)
 PARALLEL_SIMULATIONS = 5
 """Number of parallel simulations, each in a separate process."""
 
@@ -34,12 +34,12 @@
 OUTAGE = StoreScenario("Outage that loses nothing", False)
 SCENARIOS = (RESTORE, CUT_OFF, OUTAGE)
 
-FAULTS = ("keys_late", "config_back", "leaving_late")
+VIOLATIONS = ("keys_late", "config_back", "leaving_late")
 ADDITIONAL_FIGURES = ("agree_s", "calls", "kib_told", "served_during")
 
 
 def main() -> None:
-    runs = list(itertools.product(reversed(FEEDS), SCENARIOS))
+    runs = list(itertools.product(reversed(FORWARDER_COUNTS), SCENARIOS))
     spawn = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(PARALLEL_SIMULATIONS, spawn) as pool:
         claims_future = pool.submit(simulate_claims)
@@ -47,14 +47,14 @@
         claims: ClaimsOutcome = claims_future.result()
     results = {run: attrs.asdict(outcome) for run, outcome in zip(runs, outcomes, strict=True)}
     for scenario in SCENARIOS:
-        rows = [(feeds, *results[feeds, scenario].values()) for feeds in FEEDS]
+        rows = [(feeds, *results[feeds, scenario].values()) for feeds in FORWARDER_COUNTS]
         print_table(scenario.title, ["feeds", *attrs.fields_dict(EraOutcome)], rows)
     claimed = attrs.asdict(claims)
     print_table("Requests that run at most once", [*claimed], [[*claimed.values()]])
     print_load_average()
-    most_feeds = FEEDS[-1]
+    most_feeds = FORWARDER_COUNTS[-1]
     result = results[most_feeds, RESTORE]
-    result |= {name: sum(figures[name] for figures in results.values()) for name in FAULTS}
+    result |= {name: sum(figures[name] for figures in results.values()) for name in VIOLATIONS}
     result |= {f"cut_off_{name}": results[most_feeds, CUT_OFF][name] for name in ADDITIONAL_FIGURES}
     result |= {f"outage_{name}": results[most_feeds, OUTAGE][name] for name in ADDITIONAL_FIGURES}
     result["claims_twice"] = claims.claims_twice
--- a/benchmarks/bench_health.py
+++ b/benchmarks/bench_health.py
@@ -15,9 +15,9 @@
 
 RUNS = 400
 DOWN_S = 20.0
-STRUGGLING_S = 15.0
+PARTIAL_RECOVERY_S = 15.0
 """Time after the outage during which the upstream fails part of its requests, seconds."""
-OK_WHILE_STRUGGLING = 0.5
+SUCCESS_SHARE_DURING_RECOVERY = 0.5
 END_S = 90.0
 TEST_EVERY_S = 1.0
 REQUESTS_PER_S = 20.0
@@ -35,34 +35,34 @@
 def request_succeeds(now: float, rng: random.Random) -> bool:
     if now < DOWN_S:
         return False
-    if now < DOWN_S + STRUGGLING_S:
-        return rng.random() < OK_WHILE_STRUGGLING
+    if now < DOWN_S + PARTIAL_RECOVERY_S:
+        return rng.random() < SUCCESS_SHARE_DURING_RECOVERY
     return True
 
 
 def run(by_users: bool, needed: int, rng: random.Random) -> Tally:
     """Simulate one failure and recovery, in steps of one request."""
     breaker = ProbeCircuitBreaker(successes_needed=needed)
-    tally = Tally()
+    counts = Tally()
     next_test = 0.0
     step = 1.0 / REQUESTS_PER_S
     for turn in range(int(END_S * REQUESTS_PER_S)):
         now = turn * step
         if breaker.healthy:
             if not request_succeeds(now, rng):
-                tally.failed += 1
+                counts.failed += 1
                 breaker.failed(now)
                 next_test = now + TEST_EVERY_S
             continue
-        tally.lost_service_s += step if now >= DOWN_S + STRUGGLING_S else 0.0
+        counts.lost_service_s += step if now >= DOWN_S + PARTIAL_RECOVERY_S else 0.0
         if now < next_test:
             continue
         next_test = now + TEST_EVERY_S
         ok = request_succeeds(now, rng)
-        tally.failed += by_users and not ok
+        counts.failed += by_users and not ok
         breaker.probe_result(ok, now)
-        tally.returns += breaker.healthy
-    return tally
+        counts.returns += breaker.healthy
+    return counts
 
 
 def main() -> None:
@@ -73,9 +73,9 @@
             rng = random.Random(3)
             tallies = [run(by_users, needed, rng) for _ in range(RUNS)]
             name = f"{'users' if by_users else 'probes'}_{needed}"
-            failed = sum(tally.failed for tally in tallies) / RUNS
-            returns = sum(tally.returns for tally in tallies) / RUNS
-            late_s = sum(tally.lost_service_s for tally in tallies) / RUNS
+            failed = sum(counts.failed for counts in tallies) / RUNS
+            returns = sum(counts.returns for counts in tallies) / RUNS
+            late_s = sum(counts.lost_service_s for counts in tallies) / RUNS
             rows.append((name, failed, returns, late_s))
             result[f"{name}_failed_requests"] = failed
             result[f"{name}_returns"] = returns
--- a/benchmarks/bench_policy.py
+++ b/benchmarks/bench_policy.py
@@ -70,12 +70,12 @@
 
 
 @attrs.define(eq=False)
-class Reading:
+class QueuedPrompt:
     """A prompt queued at an engine, with the number of tokens still to be read."""
 
     request: Request
     level: int
-    left: float
+    tokens_left: float
 
 
 class Engine:
@@ -84,7 +84,7 @@
     def __init__(self, number: int):
         entry = ListedUpstream(f"e{number}", "writers", "10.0.0.1", 80, "a", 64, False, 1)
         self.upstream = Upstream(entry)
-        self.queue: list[Reading] = []
+        self.queue: list[QueuedPrompt] = []
         self.parts: OrderedDict[str, int] = OrderedDict()
         self.is_removed = False
 
@@ -97,7 +97,7 @@
 
     def backlog(self) -> float:
         """Return the number of queued tokens still to be read."""
-        return sum(reading.left for reading in self.queue)
+        return sum(reading.tokens_left for reading in self.queue)
 
     def send(self, request: Request, level: int = 0, source: Engine | None = None) -> None:
         """Queue a request, whose cached parts may be fetched from another engine."""
@@ -109,7 +109,7 @@
             self.parts.move_to_end(part)
         while sum(self.parts.values()) > MEMORY_TOKENS:
             self.parts.popitem(last=False)
-        self.queue.append(Reading(request, level, max(tokens, 1.0)))
+        self.queue.append(QueuedPrompt(request, level, max(tokens, 1.0)))
         self.queue.sort(key=lambda reading: reading.level)
 
     def run(self, now: float) -> list[Request]:
@@ -118,10 +118,10 @@
         done = []
         while self.queue and budget > 0:
             reading = self.queue[0]
-            read = min(reading.left, budget)
+            read = min(reading.tokens_left, budget)
             budget -= read
-            reading.left -= read
-            if reading.left <= 0:
+            reading.tokens_left -= read
+            if reading.tokens_left <= 0:
                 self.queue.pop(0)
                 reading.request.first_at = now
                 done.append(reading.request)
--- a/packages/burdockquay-state/src/burdockquay_state/_claim_sweep.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_claim_sweep.py
@@ -17,7 +17,7 @@
 ATTEMPT_START_LIMIT_S = 3600.0
 """Longest time between the arrival of a request and the start of one of its attempts, seconds.
 
-Later, a slot sends no attempt and an entry no longer reports a request as not run.
+After this time, a slot sends no attempt and an entry no longer reports a request as not run.
 """
 
 MIN_RETENTION_S = 2 * ATTEMPT_START_LIMIT_S
--- a/packages/burdockquay-state/src/burdockquay_state/_claims.py
+++ b/packages/burdockquay-state/src/burdockquay_state/_claims.py
@@ -269,8 +269,9 @@
         if found.is_err():
             return found
         if found.ok() is None or found.ok().version <= expected_version:
-            # The row has expired since, or the read is older than the conflict. An old row could
-            # be a cancellation that an attempt has since replaced; it must not count as "not run".
+            # Either the row has expired since, or the read is older than the conflict. Such an old
+            # row could be a cancellation that an attempt has since replaced; it must not count as
+            # "not run".
             return Err(TableError(TableErrorKind.CONFLICT, f"{row_key} cannot be read as it is"))
         return Ok(CancelOutcome(found.ok().state is ClaimState.CANCELLED, found.ok()))
 
--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -4,8 +4,10 @@
 every mechanism enabled, and once with each one disabled, in clones of the repository. It prints a
 table of the score lost without each mechanism, and a JSON object as its last line.
 
-The bench is any program that executes ``run SITE DAY --seed N --no-cpu`` in a repository and writes
-a JSON file to ``journal/`` there, whose ``days`` contain the score of each day as ``G``.
+The bench is any program that executes ``run SITE DAY --no-cpu --why TEXT [--seed N]`` in a
+repository and writes a JSON file to ``journal/`` there. The first of its ``days`` contains the
+score of the day as ``G``, the share of requests that were served as ``served``, and the violated
+rules as ``rules``.
 """
 
 from __future__ import annotations
@@ -55,7 +57,7 @@
 
     Parameters
     ----------
-    play : Play
+    play : DayRun
     worth : float
         Score of the day.
     served : float
--- a/tests/test_policy_bench.py
+++ b/tests/test_policy_bench.py
@@ -18,8 +18,9 @@
 bench = load_bench()
 
 MAX_GAPS = {"one priority, engines gone": 0.1}
-"""Largest allowed difference in the share in time from the ideal queue, if not 0.05. When the load
-exceeds what the engines can read, each wrong prediction makes one more request late."""
+"""Largest allowed difference between the share of requests in time and that of the ideal queue, for
+the patterns for which it is not 0.05. When the load exceeds what the engines can read, each wrong
+prediction makes one more request late."""
 
 
 @pytest.mark.parametrize(
