--- a/benchmarks/bench_control.py
+++ b/benchmarks/bench_control.py
@@ -35,9 +35,9 @@
 VMS = (2500,)
 REQUESTS_PER_S = (10.0, 40.0)
 TOKENS = (128,)
-VM_LIST_S = 1.3
+VM_LIST_INTERVAL_S = 1.3
 """Longest time between two reads of the VM list, seconds."""
-SHORT_ANSWER = 16
+SHORT_ANSWER_TOKENS = 16
 RATE_OF_TOKENS = 30.0
 
 COSTS = (
@@ -105,9 +105,9 @@
     bench.reuse(idle, "requests", 0.0)
     for per_s in REQUESTS_PER_S:
         await bench.measure(
-            "requests", per_s, lambda per_s=per_s: bench.call(per_s, SHORT_ANSWER, False)
+            "requests", per_s, lambda per_s=per_s: bench.call(per_s, SHORT_ANSWER_TOKENS, False)
         )
-    for tokens in (SHORT_ANSWER, *TOKENS):
+    for tokens in (SHORT_ANSWER_TOKENS, *TOKENS):
         await bench.measure(
             "tokens",
             RATE_OF_TOKENS * tokens,
@@ -138,7 +138,7 @@
     bench.reuse(loaded, "vms", low)
     for high in VMS:
         await bench.list_vms(low, high)
-        await asyncio.sleep(VM_LIST_S)
+        await asyncio.sleep(VM_LIST_INTERVAL_S)
         await bench.measure("vms", high)
         low = high
 
@@ -237,7 +237,7 @@
     lines = fit_all(samples)
     print_samples(samples)
     counted = {
-        "short_answer_tokens": SHORT_ANSWER,
+        "short_answer_tokens": SHORT_ANSWER_TOKENS,
         "imports": imports,
         "table_calls": table_calls,
         "vm_list_bytes": measured[0].vm_list_bytes,
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_once_era.py
@@ -27,7 +27,7 @@
 RESTORE_LIMIT_S = 2.0
 """Time within which a slot that reaches the table rewrites its claims, seconds."""
 
-NOTICE_LIMIT_S = 1.0
+DETECTION_LIMIT_S = 1.0
 """Time within which a slot with recent claims detects a new era of the table, seconds."""
 
 HOLD_MARGIN_S = 0.5
@@ -36,7 +36,7 @@
 ERA_POLL_INTERVAL_S = 0.5
 """Interval between two reads of a table whose era is known and not open, seconds."""
 
-CLAIM_HOLD_S = NOTICE_LIMIT_S + RESTORE_LIMIT_S + HOLD_MARGIN_S
+CLAIM_HOLD_S = DETECTION_LIMIT_S + RESTORE_LIMIT_S + HOLD_MARGIN_S
 """Time without claims after a new era was first observed, seconds."""
 
 
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/_shares.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/_shares.py
@@ -14,11 +14,11 @@
 """The same if the class that would otherwise be served is protected."""
 PROTECTED_SLACK_TOKENS = 4096.0
 """Deficit above which a guaranteed share has precedence over a protected class, tokens."""
-DEBT_LIMIT_TOKENS = 2048.0
+MAX_SURPLUS_TOKENS = 2048.0
 """Largest surplus over its share that is charged to a class, tokens."""
 AGED_PATIENCE_FRACTION = 0.5
 """Fraction of the patience after which a request counts as aged."""
-_DEFAULT_PATIENCE_S = 30.0
+_FALLBACK_TIME_LIMIT_S = 30.0
 
 
 def make_fallback_record(name: str) -> ClassRecord:
@@ -32,9 +32,9 @@
     return ClassRecord(
         name=name,
         priority=0,
-        first_token_target_s=_DEFAULT_PATIENCE_S,
-        between_tokens_target_s=_DEFAULT_PATIENCE_S,
-        patience_s=_DEFAULT_PATIENCE_S,
+        first_token_target_s=_FALLBACK_TIME_LIMIT_S,
+        between_tokens_target_s=_FALLBACK_TIME_LIMIT_S,
+        patience_s=_FALLBACK_TIME_LIMIT_S,
     )
 
 
@@ -126,7 +126,7 @@
             if share:
                 self._deficits[name] = self._deficits.get(name, 0.0) + share * tokens
         left = self._deficits.get(class_name, 0.0) - tokens
-        self._deficits[class_name] = max(left, -DEBT_LIMIT_TOKENS)
+        self._deficits[class_name] = max(left, -MAX_SURPLUS_TOKENS)
 
     def deficit(self, class_name: str) -> float:
         """Return how many tokens a class is below its share; negative for a surplus."""
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_prompts.py
@@ -96,8 +96,8 @@
 def test_part_is_not_fetched_from_an_upstream_that_has_not_read_it_yet(upstreams, model):
     """A burst of requests with one shared part arrives before the part is read.
 
-    An upstream that was told to fetch the part found nothing to fetch and read all of it again: the
-    engines read the same tokens two to four times, which delayed all requests.
+    An upstream that is told to fetch the part would find nothing to fetch and read all of it again:
+    the engines would read the same tokens two to four times, which would delay all requests.
     """
     preferred = place(upstreams, long_prompt(), model, 0.0).upstream
     preferred.record_sent(long_prompt(0))
@@ -403,7 +403,7 @@
 
     Its first token would be late because of the backlog. If it were started first, it would take
     the time in which the next one could be in time: half of the long prompts that engines read in a
-    burst were late, and as many others were rejected meanwhile.
+    burst would be late, and as many others would be rejected meanwhile.
     """
     queue = PromptQueue()
     for upstream in upstreams:
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_shared_outcomes.py
@@ -84,8 +84,8 @@
 def test_processes_detect_failing_upstreams_together(unreachable, seed):
     """Five of twenty upstreams go down at once, or answer health checks and reset requests.
 
-    Each of forty processes had to fail several times at each of them before it avoided it, and
-    again after each suspension: most requests of these seconds were lost or retried.
+    Alone, each of forty processes would have to fail several times at each of them before it avoids
+    it, and again after each suspension: most requests of these seconds would be lost or retried.
     """
     alone = Fleet(False, unreachable, seed).run()
     together = Fleet(True, unreachable, seed).run()
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_steady_reservation.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_steady_reservation.py
@@ -115,8 +115,8 @@
 def test_upstreams_are_reserved_when_only_steady_streams_pause():
     """Few requests run at once at an upstream, and each long prompt stops them for a moment.
 
-    Other streams tolerate that and showed few pauses, so that no upstream was reserved, while a
-    quarter of the steady streams were late by a single pause.
+    Other streams tolerate that and show few pauses. If only they counted, no upstream would be
+    reserved, while a quarter of the steady streams would be late by a single pause.
     """
     reservation = SteadyReservation()
     for number in range(40):
--- a/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_upstreams.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/forwarding/tests/test_upstreams.py
@@ -213,7 +213,7 @@
 def test_memory_capacity_of_upstreams_is_taken_from_the_configuration():
     """Engines keep twice as many tokens as by default.
 
-    Cached parts would be considered evicted, and read again elsewhere.
+    With the default, cached parts would be considered evicted, and read again elsewhere.
     """
     book = UpstreamRegistry()
     book.apply(UpstreamChanges(True, (entry("a"),)), 0.0)
--- a/packages/burdockquay-standins/src/burdockquay_standins/_answers.py
+++ b/packages/burdockquay-standins/src/burdockquay_standins/_answers.py
@@ -19,7 +19,7 @@
 LENGTH_SIGMA = 0.7
 """Standard deviation of the logarithm of the length: one answer in six exceeds twice the median."""
 DEFAULT_MAX_TOKENS = 512
-BLOCK_CHARACTERS = 64
+ENGINE_BLOCK_CHARACTERS = 64
 """Characters of the prompt in one block of the prefix cache; they represent 16 tokens."""
 
 
@@ -65,7 +65,7 @@
     text = json.dumps([body.get("model", ""), body.get("messages", [])])
     digest = hashlib.blake2b(digest_size=8)
     blocks = []
-    for start in range(0, len(text) - BLOCK_CHARACTERS + 1, BLOCK_CHARACTERS):
-        digest.update(text[start : start + BLOCK_CHARACTERS].encode())
+    for start in range(0, len(text) - ENGINE_BLOCK_CHARACTERS + 1, ENGINE_BLOCK_CHARACTERS):
+        digest.update(text[start : start + ENGINE_BLOCK_CHARACTERS].encode())
         blocks.append(digest.digest())
     return blocks
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
@@ -198,7 +198,7 @@
 async def test_poller_that_stopped_polling_sends_the_table_after_the_restore(feed, store, exchange):
     """All pollers got no answer while the store was unavailable and left polling to others.
 
-    No process sent the table after the restore, and a process that the store rejected did not
+    If no process sent the table after the restore, a process that the store rejects would not
     receive it.
     """
     feed.poll_schedule.confirm_by_peer(store.time, store.time)
--- a/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/tests/test_peers.py
@@ -118,8 +118,9 @@
 ):
     """One frame of an answer is lost, and the next ones arrive together, as under load.
 
-    Each of them is out of order. When each counted as a failure, the first caused a retry and the
-    second ended the call, and its caller got an incomplete answer although the retry continued it.
+    Each of them is out of order. If each counted as a failure, the first would cause a retry and
+    the second would end the call, and its caller would get an incomplete answer although the retry
+    continues it.
     """
     async with deployment(base_step_s=0.002) as running:
         held = []
--- a/scripts/make_capacity.py
+++ b/scripts/make_capacity.py
@@ -22,11 +22,11 @@
 PAGE = ROOT / "docs" / "CAPACITY.md"
 RESULTS = ROOT / "benchmarks" / "results" / "control.json"
 
-CPU_LIMIT = 0.011
+CPU_LIMIT_CORES = 0.011
 MEMORY_LIMIT_MB = 32.0
-BYTES_LIMIT = 3000.0
-TABLE_READS = 2000.0
-TABLE_WRITES = 300.0
+TRAFFIC_LIMIT_BYTES_PER_S = 3000.0
+TABLE_READS_PER_S = 2000.0
+TABLE_WRITES_PER_S = 300.0
 """Writes per second of the table: several hundred, taken as three hundred."""
 PAGE_ROWS = 1000
 """Rows returned by one read of a scan."""
@@ -56,8 +56,8 @@
 
 
 MEMORY = Figure("MB", 1.0, MEMORY_LIMIT_MB)
-PROCESSOR = Figure("% of a core", 100.0, CPU_LIMIT)
-TRAFFIC = Figure("B/s", 1.0, BYTES_LIMIT)
+PROCESSOR = Figure("% of a core", 100.0, CPU_LIMIT_CORES)
+TRAFFIC = Figure("B/s", 1.0, TRAFFIC_LIMIT_BYTES_PER_S)
 MESSAGES = Figure("messages/s")
 DATA = Figure("% of a core", 100.0, 1.0)
 
@@ -127,7 +127,7 @@
     operator_reads = plan.changes_per_s * (1 + pages)
     restarted = plan.vms / plan.domains
     restart_reads = restarted * (1 + pages)
-    claims = TABLE_WRITES / CLAIM_WRITES
+    claims = TABLE_WRITES_PER_S / CLAIM_WRITES
     rows = [
         (
             "reads of the head by entries",
@@ -147,14 +147,14 @@
         (
             "**all reads**",
             "",
-            _format_rate_with_limit(entry_reads + slot_reads + operator_reads, TABLE_READS),
+            _format_rate_with_limit(entry_reads + slot_reads + operator_reads, TABLE_READS_PER_S),
         ),
         ("writes by operators' changes", "changes/s × 1", f"{plan.changes_per_s:.3g}/s"),
         (
             "a failure domain starts at once",
             "VMs / domains × (1 + records / 1,000)",
             f"{format_value(restart_reads)} reads, "
-            f"{format_value(restart_reads / TABLE_READS)} s of the table",
+            f"{format_value(restart_reads / TABLE_READS_PER_S)} s of the table",
         ),
         (
             "requests that run at most once",
