--- a/benchmarks/bench_config.py
+++ b/benchmarks/bench_config.py
@@ -21,7 +21,7 @@
 from _processes import Process
 from _records import CHAT_PATH, api_key, class_route, organisation_record
 from _report import print_result, print_table
-from _spread import RevisionMonitor
+from _revision_monitor import RevisionMonitor
 
 from burdockquay_standins import EngineParameters, PlatformParameters
 from burdockquay_state import (
--- a/benchmarks/bench_overload.py
+++ b/benchmarks/bench_overload.py
@@ -60,7 +60,7 @@
     Parameters
     ----------
     deployment : Deployment
-    ours, baseline : Run
+    with_policy, baseline : Run
     flood : Run or None
         Run in which one organisation sends ten times its share.
     flooding : str
@@ -68,7 +68,7 @@
     """
 
     deployment: Deployment
-    ours: Run
+    with_policy: Run
     baseline: Run
     flood: Run | None = None
     flooding: str = ""
@@ -76,7 +76,7 @@
     @property
     def runs(self) -> dict[str, Run]:
         """Completed runs by name."""
-        runs = {"ours": self.ours, "flood": self.flood, "baseline": self.baseline}
+        runs = {"ours": self.with_policy, "flood": self.flood, "baseline": self.baseline}
         return {name: run for name, run in runs.items() if run is not None}
 
 
@@ -101,7 +101,7 @@
         self.calls = plan_load(self.deployment, urls, LOAD_S, SEED)
         self.extra = plan_flood(self.deployment, urls, LOAD_S, SEED, self.flooding, FLOOD_TIMES)
 
-    async def run_ours(self) -> Run:
+    async def run_with_policy(self) -> Run:
         """Send the planned load."""
         return await self._run("ours", self.calls)
 
@@ -151,7 +151,9 @@
     dict of str to float
         Ratio by class, and over all requests under ``"all"``.
     """
-    before, during = (_others_results(measured, run) for run in (measured.ours, measured.flood))
+    before, during = (
+        _others_results(measured, run) for run in (measured.with_policy, measured.flood)
+    )
     ratios = {"all": _ratio(measured.deployment, before, during)}
     for name in measured.deployment.classes:
         parts = ([r for r in part if r.class_name == name] for part in (before, during))
@@ -172,15 +174,15 @@
 def summarise(measured: Measured) -> dict[str, Any]:
     """Return the summary figures of one deployment."""
     classes = measured.deployment.classes
-    ours, baseline = measured.ours, measured.baseline
+    with_policy, baseline = measured.with_policy, measured.baseline
     summary = {
-        "attainment": attainment(ours.results, classes),
+        "attainment": attainment(with_policy.results, classes),
         "baseline_attainment": attainment(baseline.results, classes),
-        "goodput_ratio": goodput_tokens(ours.results, classes)
+        "goodput_ratio": goodput_tokens(with_policy.results, classes)
         / max(1, goodput_tokens(baseline.results, classes)),
-        "waste_share": ours.waste_share,
-        "waste_ratio": ours.waste_share / max(1e-9, baseline.waste_share),
-        "min_share": find_min_share(measured.deployment, ours.results),
+        "waste_share": with_policy.waste_share,
+        "waste_ratio": with_policy.waste_share / max(1e-9, baseline.waste_share),
+        "min_share": find_min_share(measured.deployment, with_policy.results),
         "protected_shed": count_protected_shed(measured),
         "wrong": sum(wrong_answers(run.results) for run in measured.runs.values()),
     }
@@ -246,13 +248,13 @@
             for part in (dala(ENGINE), klidne(ENGINE))
         ]
         await asyncio.gather(*(part.start() for part in runs))
-        ours = [await part.run_ours() for part in runs]
+        with_policy = [await part.run_with_policy() for part in runs]
         flood = await runs[0].run_flood()
         # Waiting times of the baseline are seconds, so both deployments may share the processors.
         baseline = await asyncio.gather(*(part.run_baseline() for part in runs))
     measured = [
-        Measured(runs[0].deployment, ours[0], baseline[0], flood, runs[0].flooding),
-        Measured(runs[1].deployment, ours[1], baseline[1]),
+        Measured(runs[0].deployment, with_policy[0], baseline[0], flood, runs[0].flooding),
+        Measured(runs[1].deployment, with_policy[1], baseline[1]),
     ]
     summaries = {part.deployment.name: summarise(part) for part in measured}
     for part in measured:
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -7,7 +7,7 @@
 DEMO = Path(__file__).parent.parent / "examples" / "demo.py"
 
 
-def test_short_demo_gives_only_right_answers():
+def test_short_demo_gives_no_wrong_answers():
     command = [sys.executable, str(DEMO), "--seconds", "1"]
     done = subprocess.run(command, capture_output=True, text=True, timeout=120)
     assert done.returncode == 0, done.stdout + done.stderr
