--- a/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/_suspicion_exchange.py
@@ -18,7 +18,7 @@
 
 
 class SuspicionExchange:
-    """Suspicions against requests that a process has, kept in sync with its peers and the table.
+    """Exchanges suspicions of requests with the peers of a process and the table.
 
     Parameters
     ----------
--- a/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
+++ b/packages/burdockquay-transport/src/burdockquay_transport/forwarding/tests/test_table_feed.py
@@ -198,7 +198,7 @@
 async def test_poller_that_stopped_polling_sends_the_table_after_the_restore(feed, store, exchange):
     """All pollers got no answer while the store was unavailable and left polling to others.
 
-    No process sent the table after the restore, and a process that the store rejected did not
+    If no process sent the table after the restore, a process that the store rejects would not
     receive it.
     """
     feed.poll_schedule.confirm_by_peer(store.time, store.time)
@@ -264,7 +264,7 @@
     assert (store.reads, store.waits) == (1, 4)
 
 
-async def test_trouble_lasts_until_the_first_answer_after_it(feed, store):
+async def test_failure_lasts_until_the_first_answer_after_it(feed, store):
     """A process queries again seconds after the store failed; entries may just have expired."""
     pending = asyncio.create_task(feed.next(1.0))
     await asyncio.sleep(0.01)
