--- a/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
+++ b/packages/burdockquay-coordination/src/burdockquay_coordination/tests/test_once_era.py
@@ -54,7 +54,7 @@
     cluster.restore_in_time(0)
     cluster.pass_time(CLAIM_HOLD_S)
     cluster.refresh_era(0)
-    cluster.heal()
+    cluster.run_without_faults()
     cluster.pass_time(ERA_POLL_INTERVAL_S)
     again = repeat(cluster, slot=1, paused=None)
     assert first.reported == again.reported == "answer"
@@ -67,7 +67,7 @@
     call = cluster.call(0, "k0", "d0", [0])
     execute_steps(cluster, None, 4)
     cluster.take_copy()
-    cluster.heal()
+    cluster.run_without_faults()
     assert call.reported == "answer"
     cluster.restore_copy()
     cluster.restore_in_time(0)
@@ -105,7 +105,7 @@
         cluster.open_first(("slot", 0))
     assert call.reported == "not_run"
     cluster.restore_copy()
-    cluster.heal()
+    cluster.run_without_faults()
     assert cluster.oracle.effects.total() == 0
 
 
@@ -116,7 +116,7 @@
     cluster.take_copy()
     gate = next(gate for gate in cluster.gates if gate.kind == "send")
     cluster.open(cluster.gates.index(gate), 2)
-    cluster.heal()
+    cluster.run_without_faults()
     cluster.restore_copy()
     assert cluster._read("k0").state is ClaimState.RUNNING
     cluster.restore_in_time(0)
@@ -131,7 +131,7 @@
     cluster.restore_copy()
     cluster.slots[0].claims.table.known_era = cluster.table.era
     cluster.slots[0].claims.recent_claims.mark_present(cluster.table.era)
-    cluster.heal()
+    cluster.run_without_faults()
     assert cluster.oracle.effects.total() == 0
     assert cluster.oracle.calls[0].reported == "not_run"
 
@@ -144,7 +144,7 @@
     cluster.pass_time(CLAIM_HOLD_S)
     cluster.restore_in_time(0)
     cluster.refresh_era(0)
-    cluster.heal()
+    cluster.run_without_faults()
     cluster.crash("slot", 1)
     again = repeat(cluster, slot=1, paused=None)
     assert again.reported == "answer"
